--- a/packages/router/src/serving/CallShares.ts
+++ b/packages/router/src/serving/CallShares.ts
@@ -2,53 +2,53 @@
 import { PeerCounts, placeShare } from '@camphorvane/decisions';
 
 /**
- * Milliseconds for which a peer's hint about its calls counts. Hints come every 200 ms, and digests of
- * large fleets up to 700 ms apart; a peer that misses several counts as one that says nothing.
+ * Milliseconds for which a peer's load report counts. Peers gossip every 200 ms, and digests of large
+ * fleets arrive up to 700 ms apart; a peer that misses several reports counts as unheard.
  */
-const HINT_LIFE_MS: Millis = 1_500;
+const REPORT_TTL_MS: Millis = 1_500;
 
 /**
- * What the hosts have on plain services, and what each may have.
+ * Divides the concurrency slots of plain services among the hosts, by the calls that each has.
  *
- * All hosts use the counts that they have sent each other, their own ones too. With its own calls as they
- * are now, each would take more than its part when a burst begins, before it knows of the others'.
+ * A host uses the count that it last reported for itself too. With its current count it would take more
+ * than its share at the start of a burst, before it learns of the burst at the other hosts.
  */
 export class CallShares {
-  private readonly peers = new PeerCounts(HINT_LIFE_MS);
+  private readonly peers = new PeerCounts(REPORT_TTL_MS);
 
   private reported: ReadonlyMap<ServiceId, number> = new Map();
 
-  private countOwn: () => ReadonlyMap<ServiceId, number> = () => new Map();
+  private countLocalCalls: () => ReadonlyMap<ServiceId, number> = () => new Map();
 
-  /** Sets what counts the calls that this host has on each service or waiting for it. */
+  /** Sets the function that counts this host's calls by service, both running and waiting. */
   setOwn(count: () => ReadonlyMap<ServiceId, number>): void {
-    this.countOwn = count;
+    this.countLocalCalls = count;
   }
 
-  /** Gets the calls of this host, to be told to its peers. */
+  /** Counts the calls of this host, to be reported to its peers. */
   getOwn(): ReadonlyMap<ServiceId, number> {
-    this.reported = this.countOwn();
+    this.reported = this.countLocalCalls();
     return this.reported;
   }
 
-  /** Takes in what a peer says of its calls. */
+  /** Records the calls that a peer reported. */
   receive(peer: HostId, calls: ReadonlyMap<ServiceId, number>, now: Millis): void {
     this.peers.receive(peer, calls, now);
   }
 
-  /** Takes in what so many peers have together. */
+  /** Records the total calls of several peers, as a digest reports them. */
   receiveSum(calls: ReadonlyMap<ServiceId, number>, peers: number, now: Millis): void {
     this.peers.receiveSum(calls, peers, now);
   }
 
   /**
-   * Gets how many calls this host may have on a service.
+   * Gets how many calls of a service this host may run at once.
    *
    * @param service - The service.
-   * @param places - Calls that all servers of the service run at once.
-   * @param hosts - All hosts, this one included.
+   * @param places - Concurrency slots: calls that all servers of the service run at once.
+   * @param hosts - Number of hosts, this one included.
    * @param now - Present time.
-   * @returns Places, not rounded.
+   * @returns Slots, not rounded.
    */
   shareOf(service: ServiceId, places: number, hosts: number, now: Millis): number {
     const unheard = Math.max(0, hosts - 1 - this.peers.heard(now));
--- a/packages/router/src/serving/CompletionAttempt.ts
+++ b/packages/router/src/serving/CompletionAttempt.ts
@@ -3,7 +3,6 @@
 import type { DecodeEvent, ModelEngine, PrefillResult, UpstreamError } from '@camphorvane/upstream';
 import { reachedNobody } from '@camphorvane/upstream';
 import { stateLog } from '../observe/StateLog.ts';
-
 import { endedEarly, endOf, engineGone, unconfigured } from './attemptEnds.ts';
 import { StallWatch } from './StallWatch.ts';
 import type {
@@ -17,22 +16,22 @@
 const log = stateLog('attempt');
 
 /**
- * Milliseconds after a prefill for which its result is still offered to another decode engine. Engines
- * keep it for half a second, and the transfer must have begun by then.
+ * Milliseconds after a prefill within which another decode engine may fetch its KV cache. Engines keep it
+ * for half a second, and the transfer must have started by then.
  */
-const HANDLE_LIFE_MS: Millis = 350;
+const KV_FAILOVER_WINDOW_MS: Millis = 350;
 
-/** Milliseconds without an event after which an engine is asked whether it is there. */
-const SILENT_MS: Millis = 1_000;
+/** Milliseconds without an event after which an engine is probed. */
+const STALL_TIMEOUT_MS: Millis = 1_000;
 
-/** Milliseconds between two looks for room; room comes back every some tens of milliseconds. */
-const ROOM_LOOK_MS: Millis = 10;
+/** Milliseconds between two searches for a decode engine; capacity frees up every few tens of them. */
+const CAPACITY_POLL_MS: Millis = 10;
 
 /**
- * One try at a completion on one pair of engines: prefill, transfer, decode.
+ * One attempt at a completion on a pair of engines: prefill, transfer, decode.
  *
- * Whatever way it ends, the reservation is released and the engines are told to free what the
- * attempt holds; a caller that has gone must not hold engine memory.
+ * However it ends, the reservation is released and the engines are told to free the attempt's memory; a
+ * caller that disconnected must not occupy engine memory.
  */
 export class CompletionAttempt {
   private readonly tools: AttemptTools;
@@ -41,46 +40,47 @@
 
   private readonly abort = new AbortController();
 
-  private lost = false;
+  /** Whether the coordinator no longer knows the reservation. */
+  private isReservationLost = false;
 
-  /** Whether the decode engine has gone without closing the connection. */
-  private isGone = false;
+  /** Whether the decode engine disappeared without closing the connection. */
+  private isEngineGone = false;
 
-  /** The decode engine that has the request now. */
-  private decodeAt: UpstreamId;
+  /** The decode engine that the request was last offered to. */
+  private decodeEngine: UpstreamId;
 
   /**
-   * @param tools - The parts of the host that it uses.
-   * @param plan - What it runs.
+   * @param tools - Components of the host.
+   * @param plan - Input of the attempt.
    */
   constructor(tools: AttemptTools, plan: AttemptPlan) {
     this.tools = tools;
     this.plan = plan;
-    this.decodeAt = plan.placement.decode;
+    this.decodeEngine = plan.placement.decode;
   }
 
   /**
    * Runs the attempt.
    *
-   * @param signal - Aborted when the caller has gone.
-   * @returns Events as they come; the generator's return value is the outcome.
+   * @param signal - Aborted when the caller disconnects or the host ends the request.
+   * @returns The events of the answer; the generator's return value is the outcome.
    */
   async *run(signal: AbortSignal): AsyncGenerator<AttemptEvent, AttemptOutcome> {
     const stop = (): void => this.abort.abort();
     signal.addEventListener('abort', stop, { once: true });
     if (signal.aborted) stop();
-    this.keep(true);
+    this.registerReservation(true);
     let outcome: AttemptOutcome | undefined;
     try {
-      outcome = yield* this.stages();
+      outcome = yield* this.runStages();
       return outcome;
     } finally {
       signal.removeEventListener('abort', stop);
-      this.end(outcome, signal.aborted);
+      this.cleanUp(outcome, signal.aborted);
     }
   }
 
-  private async *stages(): AsyncGenerator<AttemptEvent, AttemptOutcome> {
+  private async *runStages(): AsyncGenerator<AttemptEvent, AttemptOutcome> {
     const { placement } = this.plan;
     const decodeEngine = this.engine(placement.decode);
     if (decodeEngine === undefined) return this.failed(placement.decode, 'prefill', unconfigured());
@@ -92,49 +92,49 @@
     if (prefill.type === 'failed') return prefill;
     const transfer = await this.transfer(decodeEngine, prefill.result, placement.prefill);
     if (transfer !== undefined) return transfer;
-    return yield* this.decodeSomewhere(decodeEngine, prefill.result);
+    return yield* this.decodeWithFailover(decodeEngine, prefill.result);
   }
 
   /**
-   * Gives the prompt's memory to a decode engine, and to another one where the first does not take it.
+   * Decodes from the prompt's KV cache, on another decode engine where the first one rejects it.
    *
-   * A decode engine that has just crashed, or filled up unseen, refuses after the prompt was read; reading
-   * it again would load the prefill engines once more. Under overload the other engines are full too, and
-   * the prompt waits for room.
+   * A decode engine that has just crashed, or has filled up since its last load report, rejects a prompt
+   * after its prefill; a second prefill would add to the load. Under overload the other engines are full
+   * too, and the prompt waits for capacity.
    */
-  private async *decodeSomewhere(
+  private async *decodeWithFailover(
     first: ModelEngine,
     prefill: PrefillResult,
   ): AsyncGenerator<AttemptEvent, AttemptOutcome> {
     const { clock } = this.tools;
-    const until = clock.now() + HANDLE_LIFE_MS;
+    const until = clock.now() + KV_FAILOVER_WINDOW_MS;
     let engine = first;
     let outcome = yield* this.decode(engine, prefill);
-    const refusedBy: UpstreamId[] = [];
+    const rejectedBy: UpstreamId[] = [];
     while (outcome.type === 'failed' && !outcome.error.dispatched && clock.now() < until) {
-      refusedBy.push(engine.id);
+      rejectedBy.push(engine.id);
       if (this.abort.signal.aborted) return outcome;
       if (!reachedNobody(outcome.error) && !this.plan.mayRepeat()) return outcome;
-      const next = await this.nextDecode(refusedBy, until);
+      const next = await this.nextDecodeEngine(rejectedBy, until);
       if (next === undefined) return outcome;
       engine = next;
-      this.decodeAt = engine.id;
+      this.decodeEngine = engine.id;
       outcome = yield* this.decode(engine, prefill);
     }
     return outcome;
   }
 
-  /** Waits for a decode engine with room, for as long as the prompt's memory is kept. */
-  private async nextDecode(
-    refusedBy: readonly UpstreamId[],
+  /** Waits for a decode engine with capacity, for as long as the prompt's KV cache is kept. */
+  private async nextDecodeEngine(
+    rejectedBy: readonly UpstreamId[],
     until: Millis,
   ): Promise<ModelEngine | undefined> {
     const { clock, placements } = this.tools;
-    const next = placements.moveDecode(this.plan.placement.reservation, refusedBy);
+    const next = placements.moveDecode(this.plan.placement.reservation, rejectedBy);
     if (next !== undefined) return this.engine(next);
-    if (this.abort.signal.aborted || clock.now() + ROOM_LOOK_MS >= until) return undefined;
-    await sleep(clock, ROOM_LOOK_MS);
-    return this.nextDecode(refusedBy, until);
+    if (this.abort.signal.aborted || clock.now() + CAPACITY_POLL_MS >= until) return undefined;
+    await sleep(clock, CAPACITY_POLL_MS);
+    return this.nextDecodeEngine(rejectedBy, until);
   }
 
   private async prefill(
@@ -157,7 +157,7 @@
     const tookMs = clock.now() - startedAt;
     const { reservation } = placement;
     placements.prefillEnded(pool.model, reservation, result.isOk() ? tookMs : undefined);
-    this.keep(false);
+    this.registerReservation(false);
     if (result.isErr()) return this.failed(engine.id, 'prefill', result.error);
     metrics.count('prefill.tokens', {}, result.value.promptTokens);
     const id = this.plan.identity.request;
@@ -199,7 +199,7 @@
     prefill: PrefillResult | undefined,
   ): AsyncGenerator<AttemptEvent, AttemptOutcome> {
     const { plan } = this;
-    // The engine's zone may have been drained while the prompt was read.
+    // The engine's zone may have been drained during the prefill.
     if (this.engine(engine.id) === undefined) {
       return this.failed(engine.id, 'decode', unconfigured());
     }
@@ -216,7 +216,7 @@
       },
       this.abort.signal,
     );
-    const stall = this.watchForStall(engine);
+    const stall = this.detectStall(engine);
     try {
       for await (const event of stream) {
         stall.progress();
@@ -224,10 +224,10 @@
           if (delivered === 0 && prefill !== undefined) {
             this.tools.metrics.count('prefill.wasted_tokens', {}, prefill.promptTokens);
           }
-          return this.failed(engine.id, 'decode', this.isGone ? engineGone() : event.error);
+          return this.failed(engine.id, 'decode', this.isEngineGone ? engineGone() : event.error);
         }
         const { value } = event;
-        lastAt = this.noteInterval(engine.id, value, lastAt);
+        lastAt = this.recordInterval(engine.id, value, lastAt);
         switch (value.type) {
           case 'done':
             return {
@@ -241,7 +241,7 @@
           case 'head':
           case 'token':
           case 'piece':
-            if (prefill === undefined && delivered === 0) this.notePromptRead();
+            if (prefill === undefined && delivered === 0) this.recordPrefillEnd();
             if (value.type !== 'head') delivered += 1;
             yield value;
             break;
@@ -255,27 +255,27 @@
     return this.failed(engine.id, 'decode', endedEarly());
   }
 
-  /** Ends the attempt where its engine is gone, so that the stream can go on at another one. */
-  private watchForStall(engine: ModelEngine): StallWatch {
+  /** Aborts the attempt if its engine disappears, so that another engine can resume the stream. */
+  private detectStall(engine: ModelEngine): StallWatch {
     return new StallWatch({
       clock: this.tools.clock,
-      silentMs: SILENT_MS,
+      silentMs: STALL_TIMEOUT_MS,
       isThere: async () => (await engine.load()).isOk(),
       onGone: () => {
-        this.isGone = true;
+        this.isEngineGone = true;
         this.tools.metrics.count('attempt.engine_gone');
         this.abort.abort();
       },
     });
   }
 
-  /** An engine that reads the prompt itself shows by its first event that it has done so. */
-  private notePromptRead(): void {
+  /** The first event of an engine that runs the prefill itself shows that the prefill has ended. */
+  private recordPrefillEnd(): void {
     const { pool, placement } = this.plan;
     this.tools.placements.prefillEnded(pool.model, placement.reservation);
   }
 
-  private noteInterval(
+  private recordInterval(
     engine: UpstreamId,
     event: DecodeEvent,
     lastAt: Millis | undefined,
@@ -290,13 +290,13 @@
     return now;
   }
 
-  private keep(prefillRunning: boolean): void {
+  private registerReservation(prefillRunning: boolean): void {
     const { placement, identity, pool } = this.plan;
-    if (this.lost) return;
+    if (this.isReservationLost) return;
     this.tools.keeper.keep({
       model: pool.model,
       onLost: () => {
-        this.lost = true;
+        this.isReservationLost = true;
         this.tools.metrics.count('reservation.lost');
         this.abort.abort();
       },
@@ -311,14 +311,14 @@
     });
   }
 
-  private end(outcome: AttemptOutcome | undefined, callerGone: boolean): void {
+  private cleanUp(outcome: AttemptOutcome | undefined, callerGone: boolean): void {
     const { placement, pool } = this.plan;
     this.abort.abort();
     this.tools.keeper.drop(placement.reservation);
     if (outcome?.type !== 'done') {
       const { prefill } = placement;
       if (prefill !== undefined) void this.engine(prefill)?.cancel(placement.reservation);
-      void this.engine(this.decodeAt)?.cancel(placement.reservation);
+      void this.engine(this.decodeEngine)?.cancel(placement.reservation);
     }
     void this.tools.placements.release(
       pool.model,
--- a/packages/router/src/serving/CompletionProgress.ts
+++ b/packages/router/src/serving/CompletionProgress.ts
@@ -1,9 +1,9 @@
 import type { Millis, Tokens, UpstreamId } from '@camphorvane/core';
 
-/** Engines kept away from a request after it failed there. */
-const MAX_AVOIDED = 4;
+/** Most engines that a request avoids after it failed there; the latest are kept. */
+const MAX_AVOIDED_ENGINES = 4;
 
-/** How far a completion has come, over all its attempts. */
+/** Progress of a completion over all its attempts. */
 export class CompletionProgress {
   private text = '';
 
@@ -17,14 +17,15 @@
 
   private answered = false;
 
-  private runs = 0;
+  private executions = 0;
 
-  private open = false;
+  /** Whether an engine has the request and has not failed. */
+  private isInFlight = false;
 
   /**
-   * @param promptTokens - Estimate of the prompt's tokens.
+   * @param promptTokens - Estimated tokens of the prompt.
    * @param startedAt - When the request was accepted.
-   * @param digest - Digest of model and prompt.
+   * @param digest - Digest of the request's content.
    * @param fromPosition - Position of the first token to deliver.
    */
   constructor(
@@ -36,7 +37,7 @@
     this.position = fromPosition;
   }
 
-  /** Gets the text delivered so far. */
+  /** Gets the text that was delivered to the caller. */
   getText(): string {
     return this.text;
   }
@@ -46,67 +47,67 @@
     return this.position;
   }
 
-  /** Gets the engines on which the request failed, latest last. */
+  /** Gets the engines on which the request failed, the latest last. */
   getAvoided(): readonly UpstreamId[] {
     return this.avoided;
   }
 
-  /** Tells whether any engine was given work for this request. */
+  /** Tells whether the request was dispatched to any engine. */
   wasDispatched(): boolean {
     return this.dispatched;
   }
 
-  /** Notes that an engine is given work. */
+  /** Records that the request is dispatched to an engine. */
   noteDispatch(): void {
     this.dispatched = true;
-    this.open = true;
+    this.isInFlight = true;
   }
 
-  /** Notes a delivered token. */
+  /** Records a delivered token. */
   noteToken(text: string): void {
     this.text += text;
     this.position += 1;
     this.delivered = true;
   }
 
-  /** Notes a delivered event of a call that is passed on. */
+  /** Records a delivered event of a forwarded call. */
   notePiece(position: number): void {
     this.position = position + 1;
     this.delivered = true;
   }
 
-  /** Notes that an engine may have begun to give output, and did not end it. */
+  /** Records an attempt that failed after its engine may have started to generate output. */
   noteRun(): void {
-    this.runs += 1;
+    this.executions += 1;
   }
 
-  /** Notes that an engine gave its whole answer. */
+  /** Records that an engine gave its complete answer. */
   noteAnswered(): void {
     this.answered = true;
   }
 
-  /** Gets how many engines may have begun to give output without an end. */
+  /** Gets the number of failed attempts whose engines may have started to generate output. */
   getRuns(): number {
-    return this.runs;
+    return this.executions;
   }
 
-  /** Tells whether anything of the output was delivered. */
+  /** Tells whether any output was delivered. */
   hasDelivered(): boolean {
     return this.delivered;
   }
 
-  /** Tells whether an engine began this request, or may have begun it unseen. */
+  /** Tells whether an engine has started this request, or may have without the host knowing. */
   mayHaveBegun(): boolean {
-    return this.runs > 0 || this.delivered || this.answered || this.open;
+    return this.executions > 0 || this.delivered || this.answered || this.isInFlight;
   }
 
-  /** Notes an engine on which the request failed. */
+  /** Records an engine on which the request failed. */
   noteFailure(engine: UpstreamId): void {
-    this.open = false;
-    this.avoided = [...this.avoided, engine].slice(-MAX_AVOIDED);
+    this.isInFlight = false;
+    this.avoided = [...this.avoided, engine].slice(-MAX_AVOIDED_ENGINES);
   }
 
-  /** Gets the tokens that the team is charged for. */
+  /** Gets the tokens that the team is charged for: the prompt once dispatched, and the output. */
   getUsedTokens(): Tokens {
     return this.dispatched ? this.promptTokens + this.position : 0;
   }
--- a/packages/router/src/serving/CompletionServing.ts
+++ b/packages/router/src/serving/CompletionServing.ts
@@ -32,25 +32,25 @@
 import { waitBound } from './waitBound.ts';
 
 /**
- * Milliseconds of silence that a caller's connection is given while its answer moves to another
- * engine; clients of OpenAI's interface wait for minutes, and people give up sooner.
+ * Longest pause of a stream, in milliseconds, while it resumes at another engine. Clients of the OpenAI
+ * API wait for minutes, but people give up sooner.
  */
-const RESUME_PATIENCE_MS: Millis = 15_000;
+const MAX_RESUME_PAUSE_MS: Millis = 15_000;
 
-/** Speed of prefill assumed where a resume is weighed; slow engines do more than this. */
-const PREFILL_TOKENS_PER_MS = 1;
+/** Prefill rate assumed when a resume is planned; even slow engines are faster. */
+const MIN_PREFILL_TOKENS_PER_MS = 1;
 
 const MS_PER_SECOND = 1_000;
 
-/** What an attempt returns when its consumer stops reading; nobody looks at it any more. */
-const STOPPED: AttemptOutcome = {
+/** Return value of an attempt whose consumer stopped reading; it is never used. */
+const UNREAD_OUTCOME: AttemptOutcome = {
   type: 'failed',
   engine: '',
   stage: 'decode',
-  error: { type: 'cancelled', dispatched: true, message: 'no reader' },
+  error: { type: 'cancelled', dispatched: true, message: 'the consumer stopped reading' },
 };
 
-/** What completion serving is made of. */
+/** Options of a {@link CompletionHandler}. */
 export interface CompletionServingOptions extends AttemptTools {
   readonly self: HostId;
   readonly rates: RateGate;
@@ -58,13 +58,13 @@
   readonly crashes: CrashGuard;
 }
 
-/** Serves completions: charge, reserve, run, resume where an engine fails, refund. */
+/** Serves completions: charges the team, reserves engines, runs and resumes attempts, refunds the rest. */
 export class CompletionServing {
   private readonly options: CompletionServingOptions;
 
   private readonly queue: RateQueue;
 
-  /** @param options - What it is made of. */
+  /** @param options - Identity and components of the host. */
   constructor(options: CompletionServingOptions) {
     this.options = options;
     this.queue = new RateQueue(options.clock, options.rates);
@@ -73,11 +73,11 @@
   /**
    * Serves one completion.
    *
-   * @param work - The completion.
-   * @returns Its events; ends after `done`, `answer` or `refused`.
+   * @param completion - The completion.
+   * @returns Its events; the last one is `done`, `answer` or `refused`.
    */
-  async *serve(work: KnownCompletion): AsyncGenerator<ServingEvent> {
-    const pool = this.poolFor(work);
+  async *serve(completion: KnownCompletion): AsyncGenerator<ServingEvent> {
+    const pool = this.poolFor(completion);
     if (pool.isErr()) {
       yield { type: 'refused', refusal: pool.error };
       return;
@@ -85,120 +85,129 @@
     const acceptedAt = this.options.clock.now();
     const charge = await this.queue.charge(
       {
-        team: work.caller.team,
-        class: work.class,
-        tokens: promptTokens(work.prompt) + work.maxTokens,
-        maxWaitMs: waitBound(work.config, pool.value, work.caller.team.id, work.class),
+        team: completion.caller.team,
+        class: completion.class,
+        tokens: promptTokens(completion.prompt) + completion.maxTokens,
+        maxWaitMs: waitBound(
+          completion.config,
+          pool.value,
+          completion.caller.team.id,
+          completion.class,
+        ),
       },
-      work.signal,
+      completion.signal,
     );
     if (charge.isErr()) {
       yield { type: 'refused', refusal: charge.error };
       return;
     }
-    yield* this.serveCharged(work, pool.value, charge.value, acceptedAt);
+    yield* this.serveCharged(completion, pool.value, charge.value, acceptedAt);
   }
 
   private async *serveCharged(
-    work: KnownCompletion,
+    completion: KnownCompletion,
     pool: PoolConfig,
     charge: RateCharge,
     acceptedAt: Millis,
   ): AsyncGenerator<ServingEvent> {
     const progress = new CompletionProgress(
-      promptTokens(work.prompt),
+      promptTokens(completion.prompt),
       acceptedAt,
-      digestOf(work),
-      work.terms.fromPosition,
+      digestOf(completion),
+      completion.terms.fromPosition,
     );
     try {
-      yield* this.attempts(work, pool, progress);
+      yield* this.attempts(completion, pool, progress);
     } finally {
-      const used = usedTokens(work, progress, charge);
+      const used = usedTokens(completion, progress, charge);
       this.options.rates.refund(charge, Math.max(0, charge.tokens - used));
     }
   }
 
   private async *attempts(
-    work: KnownCompletion,
+    completion: KnownCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
   ): AsyncGenerator<ServingEvent> {
-    let left = MAX_ATTEMPTS;
-    while (left > 0) {
-      left -= 1;
-      const placement = await this.placeNext(work, pool, progress);
+    let attemptsLeft = MAX_ATTEMPTS;
+    while (attemptsLeft > 0) {
+      attemptsLeft -= 1;
+      const placement = await this.reserveNext(completion, pool, progress);
       if (placement.isErr()) {
-        yield { type: 'refused', refusal: this.refusalFor(work, progress, placement.error) };
+        yield { type: 'refused', refusal: this.refusalFor(completion, progress, placement.error) };
         return;
       }
-      const outcome = yield* this.attempt(work, pool, progress, placement.value);
+      const outcome = yield* this.attempt(completion, pool, progress, placement.value);
       if (outcome.type !== 'failed') {
         this.options.crashes.succeeded(progress.digest);
         yield endEvent(outcome, progress);
         return;
       }
-      const end = this.endAfter(work, pool, progress, outcome);
-      if (end !== undefined) {
-        yield { type: 'refused', refusal: this.refusalFor(work, progress, end) };
+      const refusal = this.refusalAfter(completion, pool, progress, outcome);
+      if (refusal !== undefined) {
+        yield { type: 'refused', refusal: this.refusalFor(completion, progress, refusal) };
         return;
       }
     }
-    yield { type: 'refused', refusal: this.refusalFor(work, progress, enginesFailed()) };
+    yield { type: 'refused', refusal: this.refusalFor(completion, progress, enginesFailed()) };
   }
 
-  /** Gets a place for the next attempt, unless the request has come to be held back. */
-  private async placeNext(
-    work: KnownCompletion,
+  /** Reserves engines for the next attempt, unless the request has been quarantined. */
+  private async reserveNext(
+    completion: KnownCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
   ): Promise<Result<PlacedPair, Refusal>> {
-    const heldBack = this.options.crashes.refusalFor(progress.digest);
-    if (heldBack !== undefined) return err(heldBack);
-    const placement = await this.reserve(work, pool, progress);
+    const quarantined = this.options.crashes.refusalFor(progress.digest);
+    if (quarantined !== undefined) return err(quarantined);
+    const placement = await this.reserve(completion, pool, progress);
     const isFirst = progress.getAvoided().length === 0;
-    return placement.map((place) => {
-      if (isFirst) this.noteFirstAttempt(work, pool, place);
-      return place;
+    return placement.map((pair) => {
+      if (isFirst) this.recordFirstAttempt(completion, pool, pair);
+      return pair;
     });
   }
 
-  private noteFirstAttempt(work: KnownCompletion, pool: PoolConfig, place: PlacedPair): void {
+  private recordFirstAttempt(
+    completion: KnownCompletion,
+    pool: PoolConfig,
+    pair: PlacedPair,
+  ): void {
     const now = this.options.clock.now();
-    const engines = [place.prefill, place.decode].filter((engine) => engine !== undefined);
-    const request = { team: work.caller.team.id, service: pool.model };
+    const engines = [pair.prefill, pair.decode].filter((engine) => engine !== undefined);
+    const request = { team: completion.caller.team.id, service: pool.model };
     this.options.repeats.attempted(request, engines, now);
   }
 
-  /** Decides whether a completion goes on after a failed attempt; gets the refusal if it ends. */
-  private endAfter(
-    work: KnownCompletion,
+  /** Decides whether another attempt follows a failed one; gets the refusal if none does. */
+  private refusalAfter(
+    completion: KnownCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
     outcome: FailedAttempt,
   ): Refusal | undefined {
     progress.noteFailure(outcome.engine);
-    if (mayHaveRun(work, outcome)) progress.noteRun();
-    if (work.signal.aborted) return enginesFailed();
+    if (mayHaveRun(completion, outcome)) progress.noteRun();
+    if (completion.signal.aborted) return enginesFailed();
     this.options.crashes.failed(progress.digest, outcome.engine, outcome.error);
-    if (progress.getRuns() >= work.terms.maxRuns) return enginesFailed();
+    if (progress.getRuns() >= completion.terms.maxRuns) return enginesFailed();
     const now = this.options.clock.now();
     const plan = planResume(
       {
-        idempotent: work.terms.resumable || progress.getRuns() === 0,
+        idempotent: completion.terms.resumable || progress.getRuns() === 0,
         promptTokens: progress.promptTokens,
         deliveredTokens: progress.getPosition(),
-        maxOutputTokens: work.maxTokens,
-        patienceMs: RESUME_PATIENCE_MS,
+        maxOutputTokens: completion.maxTokens,
+        patienceMs: MAX_RESUME_PAUSE_MS,
         kv: undefined,
       },
       {
         prefillWaitMs: 0,
-        prefillRate: PREFILL_TOKENS_PER_MS,
+        prefillRate: MIN_PREFILL_TOKENS_PER_MS,
         transferMs: (piecesFor(progress.promptTokens) / pool.linkPiecesPerSecond) * MS_PER_SECOND,
         mayRetry: () =>
           reachedNobody(outcome.error) ||
-          this.options.repeats.tryRepeat(repeatTarget(work, pool, outcome.engine), now),
+          this.options.repeats.tryRepeat(repeatTarget(completion, pool, outcome.engine), now),
       },
       now,
     );
@@ -210,7 +219,7 @@
   }
 
   private async *attempt(
-    work: KnownCompletion,
+    completion: KnownCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
     placement: PlacedPair,
@@ -218,95 +227,104 @@
     const attempt = new CompletionAttempt(this.options, {
       pool,
       placement,
-      identity: { request: work.id, holder: this.options.self, team: work.caller.team.id },
-      prompt: work.prompt,
-      prefixes: promptPrefixes(work.prompt),
+      identity: {
+        request: completion.id,
+        holder: this.options.self,
+        team: completion.caller.team.id,
+      },
+      prompt: completion.prompt,
+      prefixes: promptPrefixes(completion.prompt),
       delivered: progress.getText(),
       fromPosition: progress.getPosition(),
-      maxTokens: work.maxTokens,
+      maxTokens: completion.maxTokens,
       mayRepeat: () =>
         this.options.repeats.tryRepeat(
-          repeatTarget(work, pool, placement.decode),
+          repeatTarget(completion, pool, placement.decode),
           this.options.clock.now(),
         ),
     });
     progress.noteDispatch();
-    const events = attempt.run(work.signal);
+    const events = attempt.run(completion.signal);
     try {
       let next = await events.next();
       while (next.done !== true) {
-        this.noteEvent(work, progress, next.value);
+        this.recordEvent(completion, progress, next.value);
         yield next.value;
         next = await events.next();
       }
       return next.value;
     } finally {
-      // A consumer that stops reading ends this generator here; the attempt must end with it.
-      await events.return(STOPPED);
+      // Also reached when the consumer stops reading; the attempt must be ended then too.
+      await events.return(UNREAD_OUTCOME);
     }
   }
 
-  private noteEvent(
-    work: KnownCompletion,
+  private recordEvent(
+    completion: KnownCompletion,
     progress: CompletionProgress,
     event: AttemptEvent,
   ): void {
     if (event.type === 'head') return;
     if (!progress.hasDelivered()) {
       const ttft = this.options.clock.now() - progress.startedAt;
-      this.options.metrics.timing('request.ttft', ttft, { class: work.class });
+      this.options.metrics.timing('request.ttft', ttft, { class: completion.class });
     }
     if (event.type === 'token') progress.noteToken(event.text);
     else progress.notePiece(event.position);
   }
 
   private reserve(
-    work: KnownCompletion,
+    completion: KnownCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
   ): Promise<Result<PlacedPair, Refusal>> {
-    const { caller } = work;
+    const { caller } = completion;
     const item: WorkItem = {
-      request: work.id,
+      request: completion.id,
       holder: this.options.self,
       team: caller.team.id,
       weight: caller.team.weight,
-      class: work.class,
+      class: completion.class,
       promptTokens: progress.promptTokens + progress.getPosition(),
-      maxOutputTokens: Math.max(1, work.maxTokens - progress.getPosition()),
-      prefixes: promptPrefixes(work.prompt),
-      maxWaitMs: work.terms.maxWaitMs ?? waitBound(work.config, pool, caller.team.id, work.class),
+      maxOutputTokens: Math.max(1, completion.maxTokens - progress.getPosition()),
+      prefixes: promptPrefixes(completion.prompt),
+      maxWaitMs:
+        completion.terms.maxWaitMs ??
+        waitBound(completion.config, pool, caller.team.id, completion.class),
       avoid: progress.getAvoided(),
-      expectedOutputTokens: work.terms.expectedTokens,
-      onTimeMs: work.terms.onTimeMs,
-      longestPauseMs: work.terms.longestPauseMs,
-      priority: work.terms.priority,
+      expectedOutputTokens: completion.terms.expectedTokens,
+      onTimeMs: completion.terms.onTimeMs,
+      longestPauseMs: completion.terms.longestPauseMs,
+      priority: completion.terms.priority,
     };
-    return this.options.placements.reserve(pool.model, item, work.signal);
+    return this.options.placements.reserve(pool.model, item, completion.signal);
   }
 
-  private poolFor(work: KnownCompletion): Result<PoolConfig, Refusal> {
-    const { caller, model } = work;
+  private poolFor(completion: KnownCompletion): Result<PoolConfig, Refusal> {
+    const { caller, model } = completion;
     const pool = this.options.directory.getPool(model);
-    if (pool === undefined) return err(notRun('unknown_model', 'There is no such model.'));
+    if (pool === undefined) return err(notRun('unknown_model', 'No pool serves this model.'));
     const allowed = caller.team.models.length === 0 || caller.team.models.includes(model);
     if (!allowed) return err(notRun('model_not_allowed', 'The team may not use this model.'));
-    if (promptTokens(work.prompt) + work.maxTokens > pool.maxTokens) {
+    if (promptTokens(completion.prompt) + completion.maxTokens > pool.maxTokens) {
       return err(
-        notRun('prompt_too_long', `Prompt and output exceed ${pool.maxTokens} tokens together.`),
+        notRun(
+          'prompt_too_long',
+          `Prompt and output together exceed the model's ${pool.maxTokens} tokens.`,
+        ),
       );
     }
     return ok(pool);
   }
 
-  /** A refusal must not say "not run" once an engine was given the work. */
+  /** Sets a refusal's `execution`, which must not be `not_run` once an engine may have run the request. */
   private refusalFor(
-    work: KnownCompletion,
+    completion: KnownCompletion,
     progress: CompletionProgress,
     refusal: Refusal,
   ): Refusal {
-    const reason = work.signal.aborted ? endReason(work.signal) : refusal;
-    return wasGivenAway(work, progress)
+    const reason = completion.signal.aborted ? endReason(completion.signal) : refusal;
+    return wasGivenAway(completion, progress)
       ? { ...reason, execution: 'unknown' }
       : { ...reason, execution: 'not_run' };
   }
@@ -317,6 +335,6 @@
 }
 
 function budgetSpent(): Refusal {
-  const text = 'The engine failed, and too many requests are being repeated already.';
+  const text = 'The engine failed, and the retry budget is spent.';
   return { ...outcomeUnknown('retry_budget_spent', text), retryAfterMs: 2_000 };
 }
--- a/packages/router/src/serving/CrashGuard.ts
+++ b/packages/router/src/serving/CrashGuard.ts
@@ -6,36 +6,40 @@
 import type { UpstreamError } from '@camphorvane/upstream';
 import type { GroupGate } from '../host/ports.ts';
 
-/** Milliseconds to wait for a peer to take a report. */
-const TELL_TIMEOUT_MS: Millis = 1_000;
+/** Milliseconds to wait for a peer to acknowledge a crash report. */
+const REPORT_TIMEOUT_MS: Millis = 1_000;
 
-/** What a crash guard is made of. */
+/** Options of a {@link CrashGuard}. */
 export interface CrashGuardOptions {
   readonly self: HostId;
   readonly clock: Clock;
   readonly group: GroupGate;
-  /** Carries reports to other hosts; absent where hosts have no link. */
+  /** Sends crash reports to the other hosts; absent where hosts have no peer link. */
   readonly link?: PeerLink;
-  /** When a request is held back; those not given have their defaults. */
+  /** When a request is quarantined; defaults apply to limits that are not given. */
   readonly suspicion?: Partial<CrashSuspicionOptions>;
 }
 
-/** Holds back requests that crash the upstreams which run them, for all hosts of the group. */
+/**
+ * Quarantines requests that crash the upstreams which run them.
+ *
+ * Crashes are reported to all hosts of the group, so that a retry through another host is refused too.
+ */
 export class CrashGuard {
   private readonly options: CrashGuardOptions;
 
   private readonly suspicion: CrashSuspicion;
 
-  /** @param options - what the guard is made of. */
+  /** @param options - Identity, clock, peers and limits. */
   constructor(options: CrashGuardOptions) {
     this.options = options;
     this.suspicion = new CrashSuspicion(options.suspicion);
   }
 
   /**
-   * Gets the digest by which a request is known again when its caller sends it once more.
+   * Gets a digest of a request's content, which stays the same when its caller retries it.
    *
-   * @param parts - What the request consists of, such as model and prompt.
+   * @param parts - The parts of the request, such as model and prompt.
    * @returns The digest.
    */
   static digestOf(...parts: readonly string[]): string {
@@ -43,48 +47,48 @@
   }
 
   /**
-   * Gets the refusal of a request that crashed several upstreams.
+   * Gets the refusal of a quarantined request.
    *
    * @param digest - The request's digest.
    * @returns The refusal, or undefined where the request may run.
    */
   refusalFor(digest: string): Refusal | undefined {
-    const heldBackMs = this.suspicion.getHeldBackMs(digest, this.options.clock.now());
-    if (heldBackMs === undefined) return undefined;
-    const text = 'Upstreams crashed while they ran this request; it is held back for a while.';
-    return notRun('suspected_crasher', text, heldBackMs);
+    const quarantineMs = this.suspicion.getHeldBackMs(digest, this.options.clock.now());
+    if (quarantineMs === undefined) return undefined;
+    const text = 'Several upstreams crashed while running this request; it is quarantined for now.';
+    return notRun('suspected_crasher', text, quarantineMs);
   }
 
   /**
-   * Notes that an attempt failed on an upstream, if the way it failed looks like a crash.
+   * Records a failed attempt, and reports it to the group if the upstream seems to have crashed.
    *
    * @param digest - The request's digest.
    * @param upstream - The upstream that ran it.
-   * @param error - How it failed.
+   * @param error - The error; only `broken`, a connection that broke off, counts as a crash.
    */
   failed(digest: string, upstream: UpstreamId, error: UpstreamError): void {
     if (error.type !== 'broken') return;
     const report: CrashReport = { digest, upstream, ageMs: 0 };
     this.suspicion.observe(report, this.options.clock.now());
-    this.tellGroup([report]);
+    this.reportToGroup([report]);
   }
 
-  /** Notes that a request got its whole answer. */
+  /** Clears a request that got a complete answer. */
   succeeded(digest: string): void {
     this.suspicion.clear(digest);
   }
 
-  /** Takes in what other hosts saw. */
+  /** Records crashes that other hosts reported. */
   heard(reports: readonly CrashReport[]): void {
     reports.forEach((report) => this.suspicion.observe(report, this.options.clock.now()));
   }
 
-  /** Gets how many requests are under suspicion, for the state dump. */
+  /** Gets the number of suspected requests, for the state dump. */
   dump(): object {
     return { suspected: this.suspicion.size };
   }
 
-  private tellGroup(reports: readonly CrashReport[]): void {
+  private reportToGroup(reports: readonly CrashReport[]): void {
     const { group, link, self } = this.options;
     if (link === undefined) return;
     group
@@ -92,7 +96,7 @@
       .filter((member) => member.host !== self)
       .forEach((member) => {
         const peer = { host: member.host, address: member.peerAddress };
-        void link.ask(peer, { type: 'crashes', reports }, TELL_TIMEOUT_MS);
+        void link.ask(peer, { type: 'crashes', reports }, REPORT_TIMEOUT_MS);
       });
   }
 }
--- a/packages/router/src/serving/Forwarding.ts
+++ b/packages/router/src/serving/Forwarding.ts
@@ -26,38 +26,35 @@
 import type { ServiceServing } from './ServiceServing.ts';
 import { StreamPace } from './StreamPace.ts';
 
-/** Milliseconds that a caller is taken to wait where it does not say. */
-const DEFAULT_PATIENCE_MS: Millis = 30_000;
+/** Milliseconds that a caller is assumed to wait where it does not declare a timeout. */
+const DEFAULT_CALLER_TIMEOUT_MS: Millis = 30_000;
 
-/** Milliseconds after which a caller of a host without a configuration may try another one. */
-const NO_CONFIG_RETRY_MS: Millis = 500;
+/** Retry-after in milliseconds where the host has no configuration, or the route no servers. */
+const UNAVAILABLE_RETRY_MS: Millis = 500;
 
-/** Milliseconds after which a caller of a draining host may try; it should use another host. */
+/** Retry-after in milliseconds of a draining host; short, as the retry goes to another host. */
 const DRAINING_RETRY_MS: Millis = 50;
 
-/**
- * Part of the target within which a stream must have its engines; the rest covers the reading of
- * the prompt, the transfer and the way back.
- */
-const STREAM_ON_TIME_PART = 0.6;
+/** Fraction of the target in which a stream must get its engines; prefill, transfer and network follow. */
+const STREAM_ON_TIME_FRACTION = 0.6;
 
 /**
- * Targets for which a stream may wait for engines in all. Callers leave a stream that has not begun
- * after four targets; one that gets engines by now begins before that.
+ * Longest wait of a stream for engines, in multiples of its target. Callers give up on a stream that has
+ * not started after four targets; one that gets its engines within this wait starts before that.
  */
-const STREAM_WAIT_TARGETS = 2.8;
+const STREAM_MAX_WAIT_TARGETS = 2.8;
 
-/** Part of the target within which a plain call must have its server; the rest covers its work. */
-const CALL_ON_TIME_PART = 0.7;
+/** Fraction of the target within which a plain call must get its server; the rest covers its execution. */
+const CALL_ON_TIME_FRACTION = 0.7;
 
 /**
- * Targets for which a plain call may wait for a server. After the first one its answer is late, and it
- * waits for what calls on time leave.
+ * Longest wait of a plain call for a server, in multiples of its target. After the first target the call is
+ * late, and only gets servers that no call on time waits for.
  */
-const CALL_WAIT_TARGETS = 2;
+const CALL_MAX_WAIT_TARGETS = 2;
 
-/** The caller of a route that needs no key. */
-const OPEN_CALLER: AuthenticatedCaller = {
+/** The caller of a route that needs no API key. */
+const ANONYMOUS_CALLER: AuthenticatedCaller = {
   team: {
     id: '',
     rate: { tokensPerSecond: 0, burstTokens: 0 },
@@ -70,7 +67,7 @@
 
 const log = stateLog('request');
 
-/** What forwarding is made of. */
+/** Options of a {@link ForwardHandler}. */
 export interface ForwardingOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -81,11 +78,11 @@
   readonly completions: CompletionServing;
   readonly services: ServiceServing;
   readonly metrics: Metrics;
-  /** Tells whether the host takes no new work. */
+  /** Tells whether the host refuses new requests. */
   readonly isClosed: () => boolean;
 }
 
-/** A call whose route, service and caller are known. */
+/** A forwarded call whose caller is authenticated and whose route and service are chosen. */
 interface RoutedCall {
   readonly id: RequestId;
   readonly req: ForwardRequest;
@@ -93,49 +90,49 @@
   readonly service: string;
   readonly caller: AuthenticatedCaller;
   readonly config: RoutingConfig;
-  /** Time at which the caller or the operators give up. */
+  /** Deadline of the call, set by its caller or by the route's timeout. */
   readonly deadlineAt: Millis;
-  /** Milliseconds since the caller first asked, as far as that can be told. */
+  /** Estimated milliseconds since the caller's first attempt at this request. */
   readonly ageMs: Millis;
 }
 
-/** Serves calls that are passed on byte for byte, by the same serving code as our own interface. */
+/** Forwards calls byte for byte to upstreams, by the same handlers as the native API. */
 export class Forwarding implements ForwardBackend {
   private readonly options: ForwardingOptions;
 
-  private readonly ages = new CallerAges();
+  private readonly callerAges = new CallerAges();
 
-  /** @param options - What it is made of. */
+  /** @param options - Components of the host. */
   constructor(options: ForwardingOptions) {
     this.options = options;
   }
 
-  /** Serves one call. */
+  /** Serves one call, as {@link ForwardBackend} says; aborting the signal ends it. */
   async *forward(
     id: RequestId,
     req: ForwardRequest,
     signal: AbortSignal,
   ): AsyncGenerator<ForwardEvent> {
     const startedAt = this.options.clock.now();
-    const routed = this.routeOf(id, req);
+    const routed = this.resolveRoute(id, req);
     if (routed.isErr()) {
-      this.noteRefusal(id, routed.error, startedAt);
+      this.recordRefusal(id, routed.error, startedAt);
       yield { type: 'refused', refusal: routed.error };
       return;
     }
     const call = routed.value;
     const { abort, leave } = this.options.inFlight.join(id, call.caller, signal);
     const cancelTimer = this.options.clock.after(call.deadlineAt - this.options.clock.now(), () =>
-      abort.abort(timedOut()),
+      abort.abort(deadlinePassed()),
     );
     try {
       const isStream = call.route.kind === 'stream';
       const events = isStream ? this.stream(call, abort.signal) : this.call(call, abort.signal);
-      const pace = new StreamPace(startedAt);
+      const timer = new StreamPace(startedAt);
       for await (const event of events) {
-        if (event.type === 'data') pace.note(this.options.clock.now());
-        if (event.type === 'refused') this.noteRefusal(id, event.refusal, startedAt);
-        if (event.type === 'done') this.noteWhole(call, pace, startedAt);
+        if (event.type === 'data') timer.note(this.options.clock.now());
+        if (event.type === 'refused') this.recordRefusal(id, event.refusal, startedAt);
+        if (event.type === 'done') this.recordDone(call, timer, startedAt);
         yield event;
       }
     } finally {
@@ -144,40 +141,40 @@
     }
   }
 
-  private routeOf(id: RequestId, req: ForwardRequest): Result<RoutedCall, Refusal> {
+  private resolveRoute(id: RequestId, req: ForwardRequest): Result<RoutedCall, Refusal> {
     const config = this.options.config.current()?.config;
     if (config === undefined) {
       const text = 'This host has no configuration yet.';
-      return err(notRun('key_state_unconfirmed', text, NO_CONFIG_RETRY_MS));
+      return err(notRun('key_state_unconfirmed', text, UNAVAILABLE_RETRY_MS));
     }
     if (this.options.isClosed()) {
       return err(notRun('host_draining', 'This host is leaving.', DRAINING_RETRY_MS));
     }
     const route = findForwardRoute(config.routes ?? [], req.host, req.path);
     if (route === undefined) {
-      return err(notRun('unknown_service', 'No route has this host name and path.'));
+      return err(notRun('unknown_service', 'No route matches this host name and path.'));
     }
     const target = chooseTarget(route.targets, this.options.random.next());
     if (target === undefined) {
-      return err(notRun('no_capacity', 'The route leads nowhere.', NO_CONFIG_RETRY_MS));
+      return err(notRun('no_capacity', 'The route has no usable target.', UNAVAILABLE_RETRY_MS));
     }
-    const patienceMs = Math.min(route.timeoutMs, req.patienceMs ?? DEFAULT_PATIENCE_MS);
+    const patienceMs = Math.min(route.timeoutMs, req.patienceMs ?? DEFAULT_CALLER_TIMEOUT_MS);
     const now = this.options.clock.now();
     const deadlineAt = now + patienceMs;
     return this.callerOf(route, req).map((caller) => {
       this.options.metrics.count('request.accepted');
       const { name, kind, targetMs, longestPauseMs } = route;
       const { service } = target;
-      const aims = { kind, targetMs, longestPauseMs };
+      const slos = { kind, targetMs, longestPauseMs };
       const version = this.version();
-      const ageMs = Math.round(this.ages.note(name, patienceMs, now));
-      log('accepted', { id, route: name, service, team: caller.team.id, ...aims, ageMs, version });
+      const ageMs = Math.round(this.callerAges.note(name, patienceMs, now));
+      log('accepted', { id, route: name, service, team: caller.team.id, ...slos, ageMs, version });
       return { id, req, route, service: target.service, caller, config, deadlineAt, ageMs };
     });
   }
 
   private callerOf(route: ForwardRoute, req: ForwardRequest): Result<AuthenticatedCaller, Refusal> {
-    return route.open ? ok(OPEN_CALLER) : this.options.authenticator.authenticate(req.key);
+    return route.open ? ok(ANONYMOUS_CALLER) : this.options.authenticator.authenticate(req.key);
   }
 
   private async *stream(call: RoutedCall, signal: AbortSignal): AsyncGenerator<ForwardEvent> {
@@ -207,8 +204,8 @@
         resumable: route.resumable,
         fromPosition: work?.lastPosition === undefined ? 0 : work.lastPosition + 1,
         expectedTokens: work?.expectedTokens,
-        maxWaitMs: Math.min(route.targetMs * STREAM_WAIT_TARGETS, this.leftMs(call)),
-        onTimeMs: Math.max(0, route.targetMs * STREAM_ON_TIME_PART - call.ageMs),
+        maxWaitMs: Math.min(route.targetMs * STREAM_MAX_WAIT_TARGETS, this.remainingMs(call)),
+        onTimeMs: Math.max(0, route.targetMs * STREAM_ON_TIME_FRACTION - call.ageMs),
         longestPauseMs: route.longestPauseMs,
         priority: caller.team.priority ?? route.priority,
       },
@@ -216,8 +213,8 @@
     });
     let hasHead = false;
     for await (const event of events) {
-      // A stream that goes on at another engine keeps the head of the first one.
-      if (event.type !== 'head' || !hasHead) yield* forwardEvents(event);
+      // A stream that resumes at another engine keeps the head of the first engine's answer.
+      if (event.type !== 'head' || !hasHead) yield* toForwardEvents(event);
       if (event.type === 'head') hasHead = true;
     }
   }
@@ -226,7 +223,7 @@
     const { id, req, route, caller } = call;
     const service = this.options.directory.getService(call.service);
     if (service === undefined) {
-      const refusal = notRun('no_capacity', 'The service has no servers.', NO_CONFIG_RETRY_MS);
+      const refusal = notRun('no_capacity', 'The service has no servers.', UNAVAILABLE_RETRY_MS);
       yield { type: 'refused', refusal };
       return;
     }
@@ -236,8 +233,8 @@
       terms: {
         maxTries: route.maxAttempts,
         claimed: false,
-        maxWaitMs: Math.min(route.targetMs * CALL_WAIT_TARGETS, this.leftMs(call)),
-        lateAt: this.options.clock.now() + route.targetMs * CALL_ON_TIME_PART - call.ageMs,
+        maxWaitMs: Math.min(route.targetMs * CALL_MAX_WAIT_TARGETS, this.remainingMs(call)),
+        lateAt: this.options.clock.now() + route.targetMs * CALL_ON_TIME_FRACTION - call.ageMs,
         deadlineAt: call.deadlineAt,
       },
       caller,
@@ -261,14 +258,18 @@
     yield { type: 'done' };
   }
 
-  private leftMs({ deadlineAt }: RoutedCall): Millis {
+  private remainingMs({ deadlineAt }: RoutedCall): Millis {
     return Math.max(0, deadlineAt - this.options.clock.now());
   }
 
-  private noteWhole({ id, route, service }: RoutedCall, pace: StreamPace, startedAt: Millis): void {
+  private recordDone(
+    { id, route, service }: RoutedCall,
+    timer: StreamPace,
+    startedAt: Millis,
+  ): void {
     const { kind } = route;
     const tookMs = Math.round(this.options.clock.now() - startedAt);
-    const times = pace.get();
+    const times = timer.get();
     const firstMs = Math.round(times.firstMs ?? tookMs);
     const pauseMs = Math.round(times.longestPauseMs);
     this.options.metrics.count('request.whole', { kind });
@@ -285,7 +286,7 @@
     });
   }
 
-  private noteRefusal(id: RequestId, refusal: Refusal, startedAt: Millis): void {
+  private recordRefusal(id: RequestId, refusal: Refusal, startedAt: Millis): void {
     const { code, execution, retryAfterMs } = refusal;
     this.options.metrics.count('request.refused', { code });
     const tookMs = Math.round(this.options.clock.now() - startedAt);
@@ -297,7 +298,7 @@
   }
 }
 
-function* forwardEvents(event: ServingEvent): Generator<ForwardEvent> {
+function* toForwardEvents(event: ServingEvent): Generator<ForwardEvent> {
   switch (event.type) {
     case 'head':
       yield { type: 'head', ...event.head };
@@ -323,7 +324,7 @@
 }
 
 function teamOf(caller: AuthenticatedCaller): string | undefined {
-  return caller === OPEN_CALLER ? undefined : caller.team.id;
+  return caller === ANONYMOUS_CALLER ? undefined : caller.team.id;
 }
 
 function plainTokens(team: TeamConfig): number {
@@ -338,6 +339,6 @@
   return route.kind === 'idempotent' ? 'lookup' : 'certificate';
 }
 
-function timedOut(): Refusal {
-  return notRun('timed_out', 'The time for this request has passed.');
+function deadlinePassed(): Refusal {
+  return notRun('timed_out', 'The deadline of this request has passed.');
 }
--- a/packages/router/src/serving/RateQueue.ts
+++ b/packages/router/src/serving/RateQueue.ts
@@ -13,23 +13,23 @@
 import type { RateCharge, RateGate } from '../host/ports.ts';
 
 /**
- * Bounds of the pause between two tries to charge a waiting request, in milliseconds. With shorter
- * ones a summary takes the tokens in the moment that they suffice, and lookups find none.
+ * Bounds of the delay between two attempts to charge a waiting request, in milliseconds. With shorter
+ * delays a summary takes the tokens as soon as there are enough, and lookups find none.
  */
-const TRY_AGAIN_MS = { least: 2_000, most: 4_000 };
+const RETRY_DELAY_MS = { min: 2_000, max: 4_000 };
 
 const MS_PER_SECOND = 1_000;
 
 /**
- * Part of a team's rate that waiting summaries may take. They take what comes in as soon as it comes,
- * so without a bound the team's lookups, which do not wait, would find nothing left.
+ * Share of a team's rate for waiting summaries. Without a bound they would take all tokens as they are
+ * refilled, and leave none for the team's lookups, which do not wait.
  */
-const WAITING_PART = 0.15;
+const WAITING_RATE_SHARE = 0.15;
 
-/** Milliseconds for which summaries hold back after a lookup of their team was refused. */
-const LOOKUPS_FIRST_MS: Millis = 2_000;
+/** Milliseconds for which summaries take no tokens after a lookup of their team was refused for lack of them. */
+const REFUSAL_PAUSE_MS: Millis = 2_000;
 
-/** What a request wants to be charged. */
+/** A request to charge tokens to a team's rate. */
 export interface RateWish {
   readonly team: TeamConfig;
   readonly class: WorkClass;
@@ -38,151 +38,150 @@
   readonly maxWaitMs: Millis;
 }
 
-interface Line {
+interface TeamQueue {
+  /** Tokens of all queued requests. */
   readonly tokens: Tokens;
-  /** Resolves when the request before has been charged or has left. */
-  readonly last: Promise<void>;
+  /** Resolves when the last queued request lets the next one proceed. */
+  readonly tail: Promise<void>;
 }
 
 /**
- * Lets summaries wait for their team's rate, one after the other.
+ * Queues summaries, one FIFO queue a team, until the team's token bucket can pay for them.
  *
- * It is made for the seconds after a host has died with part of a team's tokens. A summary may wait,
- * so refusing it would cost its caller a morning for the sake of a moment. The wait is bounded by the
- * request's own bound, and a request that can't be reached within it, because its team asks for far
- * more than its rate, is refused at once and told when to come back. Lookups do not wait here: they
- * would miss their target.
+ * Guards against refusals in the seconds after a host died with part of a team's tokens: the tokens are
+ * refilled soon, while a refused summary costs its caller far more time. A request waits no longer than its
+ * own bound; one whose turn would come later, as its team sends far more than its rate, is refused at once
+ * with a retry-after time. Lookups are never queued, as they would miss their target.
  */
 export class RateQueue {
   private readonly clock: Clock;
 
   private readonly rates: RateGate;
 
-  private readonly lines = new Map<TeamId, Line>();
+  private readonly queues = new Map<TeamId, TeamQueue>();
 
-  /** When a request that does not wait was last refused, by team. */
-  private readonly refusedAt = new Map<TeamId, Millis>();
+  /** Times of the last refused request that does not wait, by team. */
+  private readonly lastRefusalAt = new Map<TeamId, Millis>();
 
   /**
-   * @param clock - Times waits.
-   * @param rates - Charges teams.
+   * @param clock - Clock for the waits.
+   * @param rates - Charges tokens to teams.
    */
   constructor(clock: Clock, rates: RateGate) {
     this.clock = clock;
     this.rates = rates;
   }
 
-  /** Gets the tokens that requests of a team wait for. */
+  /** Gets the tokens that the queued requests of a team ask for. */
   getWaitingTokens(team: TeamId): Tokens {
-    return this.lines.get(team)?.tokens ?? 0;
+    return this.queues.get(team)?.tokens ?? 0;
   }
 
   /**
-   * Charges a request, at once or after a wait.
+   * Charges a request, at once or after a wait in the queue.
    *
-   * @param wish - What is to be charged.
-   * @param signal - Aborted when the caller has gone.
+   * @param req - The team and the tokens to charge.
+   * @param signal - Aborted when the caller disconnects.
    * @returns The charge, or a refusal.
    */
-  async charge(wish: RateWish, signal: AbortSignal): Promise<Result<RateCharge, Refusal>> {
-    const mayWait = wish.class === 'summary';
-    const hasLine = mayWait && this.getWaitingTokens(wish.team.id) > 0;
-    if (hasLine) return this.waitBehindOthers(wish, 0, signal);
-    const first = await this.rates.charge(wish.team.id, wish.tokens);
-    if (first.isErr() && !mayWait) this.refusedAt.set(wish.team.id, this.clock.now());
+  async charge(req: RateWish, signal: AbortSignal): Promise<Result<RateCharge, Refusal>> {
+    const mayWait = req.class === 'summary';
+    const isQueueing = mayWait && this.getWaitingTokens(req.team.id) > 0;
+    if (isQueueing) return this.enqueue(req, 0, signal);
+    const first = await this.rates.charge(req.team.id, req.tokens);
+    if (first.isErr() && !mayWait) this.lastRefusalAt.set(req.team.id, this.clock.now());
     if (first.isOk() || !mayWait || first.error.retryAfterMs === undefined) return first;
-    return this.waitBehindOthers(wish, first.error.retryAfterMs, signal);
+    return this.enqueue(req, first.error.retryAfterMs, signal);
   }
 
-  private async waitBehindOthers(
-    wish: RateWish,
-    lackMs: Millis,
+  private async enqueue(
+    req: RateWish,
+    refillMs: Millis,
     signal: AbortSignal,
   ): Promise<Result<RateCharge, Refusal>> {
-    const expectedMs = lackMs + this.waitBehind(wish);
-    if (expectedMs > wish.maxWaitMs) return err(behind(expectedMs));
-    return this.waitInLine(wish, signal);
+    const expectedMs = refillMs + this.queueWaitMs(req);
+    if (expectedMs > req.maxWaitMs) return err(queueTooLong(expectedMs));
+    return this.waitInQueue(req, signal);
   }
 
-  private waitBehind({ team }: RateWish): Millis {
-    return paceMs(team, this.getWaitingTokens(team.id));
+  private queueWaitMs({ team }: RateWish): Millis {
+    return refillTimeMs(team, this.getWaitingTokens(team.id));
   }
 
-  private async waitInLine(
-    wish: RateWish,
+  private async waitInQueue(
+    req: RateWish,
     signal: AbortSignal,
   ): Promise<Result<RateCharge, Refusal>> {
-    const until = this.clock.now() + wish.maxWaitMs;
-    const before = this.lines.get(wish.team.id)?.last ?? Promise.resolve();
-    let leave = (): void => undefined;
-    const last = new Promise<void>((resolve) => {
-      leave = resolve;
+    const until = this.clock.now() + req.maxWaitMs;
+    const previous = this.queues.get(req.team.id)?.tail ?? Promise.resolve();
+    let release = (): void => undefined;
+    const tail = new Promise<void>((resolve) => {
+      release = resolve;
     });
-    this.lines.set(wish.team.id, {
-      tokens: this.getWaitingTokens(wish.team.id) + wish.tokens,
-      last,
+    this.queues.set(req.team.id, {
+      tokens: this.getWaitingTokens(req.team.id) + req.tokens,
+      tail,
     });
     try {
-      await before;
-      await this.letLookupsPass(wish, until, signal);
-      const first = await this.rates.charge(wish.team.id, wish.tokens);
-      // Tokens that are there at once are plenty; only those that are waited for are scarce.
+      await previous;
+      await this.pauseAfterRefusal(req, until, signal);
+      const first = await this.rates.charge(req.team.id, req.tokens);
+      // Tokens available at once are not scarce, so the next request need not be delayed.
       if (first.isOk()) {
-        leave();
+        release();
         return first;
       }
-      const result = await this.tryUntil(wish, until, signal);
-      const restMs = result.isOk() ? paceMs(wish.team, wish.tokens) : 0;
-      void sleep(this.clock, restMs).then(leave);
+      const result = await this.chargeUntil(req, until, signal);
+      const holdMs = result.isOk() ? refillTimeMs(req.team, req.tokens) : 0;
+      void sleep(this.clock, holdMs).then(release);
       return result;
     } finally {
-      this.shorten(wish);
+      this.dequeue(req);
     }
   }
 
-  private async tryUntil(
-    wish: RateWish,
+  private async chargeUntil(
+    req: RateWish,
     until: Millis,
     signal: AbortSignal,
   ): Promise<Result<RateCharge, Refusal>> {
-    let result = await this.rates.charge(wish.team.id, wish.tokens);
+    let result = await this.rates.charge(req.team.id, req.tokens);
     while (result.isErr() && this.clock.now() < until && !signal.aborted) {
-      const pause = result.error.retryAfterMs ?? TRY_AGAIN_MS.most;
-      const bounded = Math.min(TRY_AGAIN_MS.most, Math.max(TRY_AGAIN_MS.least, pause));
-      await sleep(this.clock, bounded, signal);
-      await this.letLookupsPass(wish, until, signal);
-      result = await this.rates.charge(wish.team.id, wish.tokens);
+      const retryAfterMs = result.error.retryAfterMs ?? RETRY_DELAY_MS.max;
+      const delayMs = Math.min(RETRY_DELAY_MS.max, Math.max(RETRY_DELAY_MS.min, retryAfterMs));
+      await sleep(this.clock, delayMs, signal);
+      await this.pauseAfterRefusal(req, until, signal);
+      result = await this.rates.charge(req.team.id, req.tokens);
     }
     return result;
   }
 
-  private async letLookupsPass(
+  private async pauseAfterRefusal(
     { team }: RateWish,
     until: Millis,
     signal: AbortSignal,
   ): Promise<void> {
     const waitMs = (): Millis => {
-      const refusedAt = this.refusedAt.get(team.id) ?? -Infinity;
-      return Math.min(refusedAt + LOOKUPS_FIRST_MS, until) - this.clock.now();
+      const lastRefusalAt = this.lastRefusalAt.get(team.id) ?? -Infinity;
+      return Math.min(lastRefusalAt + REFUSAL_PAUSE_MS, until) - this.clock.now();
     };
     while (waitMs() > 0 && !signal.aborted) await sleep(this.clock, waitMs(), signal);
   }
 
-  private shorten({ team, tokens }: RateWish): void {
-    const line = this.lines.get(team.id);
-    if (line === undefined) return;
-    if (line.tokens <= tokens) this.lines.delete(team.id);
-    else this.lines.set(team.id, { ...line, tokens: line.tokens - tokens });
+  private dequeue({ team, tokens }: RateWish): void {
+    const queue = this.queues.get(team.id);
+    if (queue === undefined) return;
+    if (queue.tokens <= tokens) this.queues.delete(team.id);
+    else this.queues.set(team.id, { ...queue, tokens: queue.tokens - tokens });
   }
 }
 
-/** Gets how long waiting summaries take for so many tokens of their team's rate. */
-function paceMs({ rate }: TeamConfig, tokens: Tokens): Millis {
-  return (tokens / (rate.tokensPerSecond * WAITING_PART)) * MS_PER_SECOND;
+/** Gets the milliseconds in which the share for waiting summaries refills a number of tokens. */
+function refillTimeMs({ rate }: TeamConfig, tokens: Tokens): Millis {
+  return (tokens / (rate.tokensPerSecond * WAITING_RATE_SHARE)) * MS_PER_SECOND;
 }
 
-function behind(expectedMs: Millis): Refusal {
-  const text =
-    'The team is over its rate, and more of its requests wait than this one may wait for.';
+function queueTooLong(expectedMs: Millis): Refusal {
+  const text = 'The team is over its rate, and its queue is longer than this request may wait.';
   return notRun('over_rate', text, Math.ceil(expectedMs));
 }
--- a/packages/router/src/serving/ServiceGates.ts
+++ b/packages/router/src/serving/ServiceGates.ts
@@ -17,21 +17,22 @@
 import { stateLog } from '../observe/StateLog.ts';
 import type { CallShares } from './CallShares.ts';
 
-/** Milliseconds after which servers that have just started may get another waiting call. */
+/** Milliseconds between two checks whether servers in slow start may take another waiting call. */
 const SLOW_START_RECHECK_MS: Millis = 50;
 
 const log = stateLog('service');
 
-type Chosen = Result<UpstreamId, Refusal>;
+type ServerChoice = Result<UpstreamId, Refusal>;
 
-interface OpenGate {
+interface GateEntry {
   readonly service: ServiceId;
   readonly gate: ServiceGate;
-  readonly answers: Map<RequestId, (chosen: Chosen) => void>;
-  cancelWake: CancelTimer;
+  /** Resolvers of the waiting calls. */
+  readonly resolvers: Map<RequestId, (choice: ServerChoice) => void>;
+  cancelTimer: CancelTimer;
 }
 
-/** Runs the gates of all plain services of a host. */
+/** Queues calls to plain services on this host, and gives them servers within its share of the slots. */
 export class ServiceGates {
   private readonly clock: Clock;
 
@@ -45,15 +46,15 @@
 
   private readonly slowStart: SlowStart;
 
-  private readonly gates = new Map<ServiceId, OpenGate>();
+  private readonly gates = new Map<ServiceId, GateEntry>();
 
   /**
-   * @param clock - Times waits.
-   * @param random - Draws among equals.
-   * @param directory - Knows the servers.
-   * @param hostCount - Gets how many hosts share the servers' places.
-   * @param shares - Knows what the other hosts have on the servers.
-   * @param slowStart - Knows which servers have just started.
+   * @param clock - Clock for the waits.
+   * @param random - Breaks ties between equally loaded servers.
+   * @param directory - The configured servers.
+   * @param hostCount - Gets the number of hosts that share the servers' slots.
+   * @param shares - This host's share of each service's slots.
+   * @param slowStart - Limits requests to servers that have just started.
    */
   constructor(
     clock: Clock,
@@ -73,71 +74,75 @@
   }
 
   /**
-   * Waits for a server.
+   * Waits for a server with a free slot.
    *
    * @param service - The service.
    * @param call - The call.
-   * @param signal - Aborted when the caller has gone.
+   * @param signal - Aborted when the caller disconnects.
    * @returns The server, or a refusal.
    */
-  choose(service: ServiceId, call: GateCall, signal: AbortSignal): Promise<Chosen> {
-    const open = this.openGate(service);
+  choose(service: ServiceId, call: GateCall, signal: AbortSignal): Promise<ServerChoice> {
+    const entry = this.entryFor(service);
     return new Promise((resolve) => {
-      const gone = (): void => {
-        open.gate.withdraw(call.request);
-        this.answer(open, call.request, err(notRun('caller_gone', 'The caller has gone.')));
+      const withdraw = (): void => {
+        entry.gate.withdraw(call.request);
+        this.settle(
+          entry,
+          call.request,
+          err(notRun('caller_gone', 'The caller closed its connection.')),
+        );
       };
-      open.answers.set(call.request, (chosen) => {
-        signal.removeEventListener('abort', gone);
-        resolve(chosen);
+      entry.resolvers.set(call.request, (choice) => {
+        signal.removeEventListener('abort', withdraw);
+        resolve(choice);
       });
-      signal.addEventListener('abort', gone, { once: true });
+      signal.addEventListener('abort', withdraw, { once: true });
       if (signal.aborted) {
-        gone();
+        withdraw();
         return;
       }
-      this.reshape(open, this.clock.now());
-      const refusal = open.gate.submit(call, this.clock.now());
-      if (refusal === undefined) this.schedule(open);
-      else this.answer(open, call.request, err(refusal));
+      this.applyShare(entry, this.clock.now());
+      const refusal = entry.gate.submit(call, this.clock.now());
+      if (refusal === undefined) this.schedule(entry);
+      else this.settle(entry, call.request, err(refusal));
     });
   }
 
-  /** Ends a running call. */
+  /** Frees the slot of a call that has ended. */
   ended(service: ServiceId, call: GateCall, server: UpstreamId, failed: boolean): void {
-    const open = this.openGate(service);
-    open.gate.ended(call.team, server, failed, this.clock.now());
-    this.schedule(open);
+    const entry = this.entryFor(service);
+    entry.gate.ended(call.team, server, failed, this.clock.now());
+    this.schedule(entry);
   }
 
-  /** Takes changed services, or a changed number of hosts, into force. */
+  /** Applies a changed configuration, or a changed number of hosts, to all services. */
   refresh(): void {
-    this.gates.forEach((open) => this.schedule(open));
+    this.gates.forEach((entry) => this.schedule(entry));
   }
 
-  private openGate(service: ServiceId): OpenGate {
+  private entryFor(service: ServiceId): GateEntry {
     const known = this.gates.get(service);
     if (known !== undefined) return known;
-    const open: OpenGate = {
+    const entry: GateEntry = {
       service,
       gate: new ServiceGate(this.random),
-      answers: new Map(),
-      cancelWake: () => undefined,
+      resolvers: new Map(),
+      cancelTimer: () => undefined,
     };
-    this.gates.set(service, open);
-    return open;
+    this.gates.set(service, entry);
+    return entry;
   }
 
-  /** Takes this host's share of the places into force, at least one at each server, and gets it. */
-  private reshape({ gate, service }: OpenGate, now: Millis): number {
+  /** Applies this host's share of the slots, at least one for each server, and gets the share. */
+  private applyShare({ gate, service }: GateEntry, now: Millis): number {
     const hosts = Math.max(1, this.hostCount());
     const servers = this.directory.getService(service)?.servers ?? [];
-    const places = servers.reduce((sum, { maxConcurrent }) => sum + maxConcurrent, 0);
-    const share = this.shares.shareOf(service, places, hosts, now);
-    const part = share / Math.max(1, places);
+    const slots = servers.reduce((sum, { maxConcurrent }) => sum + maxConcurrent, 0);
+    const share = this.shares.shareOf(service, slots, hosts, now);
+    const ratio = share / Math.max(1, slots);
     const limits = servers.map(({ id, maxConcurrent }) => ({
       id,
-      limit: Math.max(1, Math.min(maxConcurrent, Math.ceil(maxConcurrent * part))),
+      limit: Math.max(1, Math.min(maxConcurrent, Math.ceil(maxConcurrent * ratio))),
       allowance: this.slowStart.allowance(id, now),
     }));
     gate.reshape(limits, Math.max(servers.length, Math.floor(share)));
@@ -148,27 +153,27 @@
     return new Map([...this.gates].map(([id, { gate }]) => [id, gate.callCount]));
   }
 
-  private schedule(open: OpenGate): void {
-    open.cancelWake();
+  private schedule(entry: GateEntry): void {
+    entry.cancelTimer();
     const now = this.clock.now();
-    const share = this.reshape(open, now);
-    open.gate.step(now).forEach((decision) => this.carryOut(open, decision, share));
-    const wake = this.nextWake(open, now);
+    const share = this.applyShare(entry, now);
+    entry.gate.step(now).forEach((decision) => this.apply(entry, decision, share));
+    const wake = this.nextWake(entry, now);
     if (wake === undefined) return;
-    // The gate's state is this host's own; a field of the entry is the natural place for its timer.
-    Object.assign(open, {
-      cancelWake: this.clock.after(Math.max(1, wake - now), () => this.schedule(open)),
+    // The timer is kept with the calls that it wakes.
+    Object.assign(entry, {
+      cancelTimer: this.clock.after(Math.max(1, wake - now), () => this.schedule(entry)),
     });
   }
 
-  private nextWake({ gate, service }: OpenGate, now: Millis): Millis | undefined {
+  private nextWake({ gate, service }: GateEntry, now: Millis): Millis | undefined {
     const wake = gate.nextWake();
     const servers = this.directory.getService(service)?.servers ?? [];
-    const isBounded = servers.some(({ id }) => this.slowStart.allowance(id, now) < Infinity);
-    return wake !== undefined && isBounded ? Math.min(wake, now + SLOW_START_RECHECK_MS) : wake;
+    const isInSlowStart = servers.some(({ id }) => this.slowStart.allowance(id, now) < Infinity);
+    return wake !== undefined && isInSlowStart ? Math.min(wake, now + SLOW_START_RECHECK_MS) : wake;
   }
 
-  private carryOut(open: OpenGate, decision: GateDecision, share: number): void {
+  private apply(entry: GateEntry, decision: GateDecision, share: number): void {
     switch (decision.type) {
       case 'place':
         this.slowStart.used(decision.server, this.clock.now());
@@ -176,30 +181,30 @@
           id: decision.request,
           server: decision.server,
           waitedMs: Math.round(decision.waitedMs),
-          calls: open.gate.callCount,
+          calls: entry.gate.callCount,
           share: Math.round(share * 10) / 10,
         });
-        this.answer(open, decision.request, ok(decision.server));
+        this.settle(entry, decision.request, ok(decision.server));
         break;
       case 'refuse':
-        this.answer(open, decision.request, err(decision.refusal));
+        this.settle(entry, decision.request, err(decision.refusal));
         break;
       default:
         decision satisfies never;
     }
   }
 
-  private answer(open: OpenGate, request: RequestId, chosen: Chosen): void {
-    const answer = open.answers.get(request);
-    open.answers.delete(request);
-    answer?.(chosen);
+  private settle(entry: GateEntry, request: RequestId, choice: ServerChoice): void {
+    const resolveCall = entry.resolvers.get(request);
+    entry.resolvers.delete(request);
+    resolveCall?.(choice);
   }
 
-  /** Gets how long calls may wait at most, for the state dump. */
+  /** Gets the number of waiting calls by service, for the state dump. */
   dump(): Readonly<Record<ServiceId, number>> {
-    return Object.fromEntries([...this.gates].map(([id, open]) => [id, open.gate.waitingCount]));
+    return Object.fromEntries([...this.gates].map(([id, entry]) => [id, entry.gate.waitingCount]));
   }
 }
 
-/** Longest wait of a call for a server, in milliseconds; part of the service's own timeout. */
+/** Longest wait of a native call for a server, in milliseconds, unless the service's timeout is shorter. */
 export const MAX_SERVICE_WAIT_MS: Millis = 2_000;
--- a/packages/router/src/serving/ServiceServing.ts
+++ b/packages/router/src/serving/ServiceServing.ts
@@ -18,25 +18,25 @@
 import { digestOf, repeatTarget } from './serviceWork.ts';
 import type { ServiceGates } from './ServiceGates.ts';
 
-/** Servers that a call may be tried on where nothing else is said. */
+/** Most servers that a native call is sent to. */
 export const MAX_TRIES = 3;
 
-/** Milliseconds after which a caller may try where servers failed; most are back within seconds. */
+/** Retry-after in milliseconds where servers failed; most are back within seconds. */
 const RETRY_AFTER_MS: Millis = 1_000;
 
-/** Status from which an answer says that the server failed, and another one may do better. */
-const FIRST_FAILURE_STATUS = 500;
+/** Lowest status of an answer that counts as a failure of the server, which another server may not have. */
+const MIN_FAILURE_STATUS = 500;
 
 const log = stateLog('service');
 
-/** What service serving is made of. */
+/** Options of a {@link ServiceCallHandler}. */
 export interface ServiceServingOptions {
   readonly clock: Clock;
   readonly directory: UpstreamDirectory;
   readonly gates: ServiceGates;
   readonly slowStart: SlowStart;
   readonly rates: RateGate;
-  /** Absent where each attempt of a caller is a call of its own, which runs once at most. */
+  /** Claims of non-idempotent calls; absent where every request of a caller is a call of its own. */
   readonly claims: IdempotencyClaims | undefined;
   readonly repeats: RepeatGate;
   readonly crashes: CrashGuard;
@@ -44,22 +44,22 @@
   readonly metrics: Metrics;
 }
 
-/** A call that failed on one server. */
-interface FailedTry {
+/** A failed attempt on one server. */
+interface FailedAttempt {
   readonly server: UpstreamId;
   readonly error: UpstreamError;
 }
 
-type TryOutcome =
+type AttemptOutcome =
   | { readonly type: 'answer'; readonly server: UpstreamId; readonly answer: ServiceAnswer }
   | { readonly type: 'refused'; readonly refusal: Refusal }
-  | ({ readonly type: 'failed' } & FailedTry);
+  | ({ readonly type: 'failed' } & FailedAttempt);
 
-/** Serves calls to plain services; those that may not repeat run at most once. */
+/** Serves calls to plain services; non-idempotent calls run at most once. */
 export class ServiceServing {
   private readonly options: ServiceServingOptions;
 
-  /** @param options - What it is made of. */
+  /** @param options - Components of the host. */
   constructor(options: ServiceServingOptions) {
     this.options = options;
   }
@@ -67,107 +67,111 @@
   /**
    * Serves one call.
    *
-   * @param work - The call.
-   * @returns The whole answer, or a refusal.
+   * @param call - The call.
+   * @returns The complete answer, or a refusal.
    */
-  async serve(work: KnownCall): Promise<Result<ServiceReply, Refusal>> {
-    const charge = await this.options.rates.charge(work.caller.team.id, work.route.costTokens);
+  async serve(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+    const charge = await this.options.rates.charge(call.caller.team.id, call.route.costTokens);
     if (charge.isErr()) return err(charge.error);
-    const reply = await this.serveCharged(work);
+    const reply = await this.serveCharged(call);
     const ran = reply.isOk() || reply.error.execution === 'unknown';
     if (!ran) this.options.rates.refund(charge.value, charge.value.tokens);
     return reply;
   }
 
-  private async serveCharged(work: KnownCall): Promise<Result<ServiceReply, Refusal>> {
-    const heldBack = this.options.crashes.refusalFor(digestOf(work));
-    if (heldBack !== undefined) return err(heldBack);
-    if (work.route.idempotent) return this.repeatable(work);
+  private async serveCharged(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+    const quarantined = this.options.crashes.refusalFor(digestOf(call));
+    if (quarantined !== undefined) return err(quarantined);
+    if (call.route.idempotent) return this.serveIdempotent(call);
     const { claims } = this.options;
-    return claims === undefined || !work.terms.claimed
-      ? this.onceUnclaimed(work)
-      : this.onceClaimed(work, claims);
+    return claims === undefined || !call.terms.claimed
+      ? this.serveOnceUnclaimed(call)
+      : this.serveOnceClaimed(call, claims);
   }
 
-  /** Tries servers until one does its work; a server's own failure is the answer if none does. */
-  private async repeatable(work: KnownCall): Promise<Result<ServiceReply, Refusal>> {
-    const failures: FailedTry[] = [];
-    let failed: ServiceAnswer | undefined;
-    let tries = 0;
-    while (tries < work.terms.maxTries && (tries === 0 || this.mayRepeat(work, failures))) {
-      tries += 1;
-      const outcome = await this.tryOnce(work, failures);
+  /** Retries on other servers after failures; if all fail, the last error answer of a server is returned. */
+  private async serveIdempotent(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+    const failures: FailedAttempt[] = [];
+    let errorAnswer: ServiceAnswer | undefined;
+    let attempts = 0;
+    while (attempts < call.terms.maxTries && (attempts === 0 || this.mayRetry(call, failures))) {
+      attempts += 1;
+      const outcome = await this.attemptOnce(call, failures);
       if (outcome.type === 'refused') {
-        return failed === undefined
-          ? err(truthful(outcome.refusal, failures))
-          : ok({ ...failed, replayed: false });
+        return errorAnswer === undefined
+          ? err(withExecution(outcome.refusal, failures))
+          : ok({ ...errorAnswer, replayed: false });
       }
-      if (outcome.type === 'answer' && outcome.answer.status < FIRST_FAILURE_STATUS) {
+      if (outcome.type === 'answer' && outcome.answer.status < MIN_FAILURE_STATUS) {
         return ok({ ...outcome.answer, replayed: false });
       }
-      if (outcome.type === 'answer') failed = outcome.answer;
-      failures.push(outcome.type === 'answer' ? ownFailure(outcome.server) : outcome);
-      if (work.signal.aborted) break;
+      if (outcome.type === 'answer') errorAnswer = outcome.answer;
+      failures.push(outcome.type === 'answer' ? errorStatusFailure(outcome.server) : outcome);
+      if (call.signal.aborted) break;
     }
-    if (failed !== undefined) return ok({ ...failed, replayed: false });
-    return err(truthful(this.failedRefusal(work), failures));
+    if (errorAnswer !== undefined) return ok({ ...errorAnswer, replayed: false });
+    return err(withExecution(this.failedRefusal(call), failures));
   }
 
-  private mayRepeat(work: KnownCall, failures: readonly FailedTry[]): boolean {
+  private mayRetry(call: KnownCall, failures: readonly FailedAttempt[]): boolean {
     const last = failures.at(-1);
     if (last === undefined) return true;
     const now = this.options.clock.now();
-    if (now >= work.terms.deadlineAt) return false;
+    if (now >= call.terms.deadlineAt) return false;
     if (reachedNobody(last.error)) return true;
-    return this.options.repeats.tryRepeat(repeatTarget(work, last.server), now);
+    return this.options.repeats.tryRepeat(repeatTarget(call, last.server), now);
   }
 
-  private failedRefusal(work: KnownCall): Refusal {
-    if (work.signal.aborted) return endReason(work.signal);
-    return this.options.clock.now() >= work.terms.deadlineAt
-      ? notRun('timed_out', 'The servers of this service gave no answer in time.')
-      : notRun('upstream_failed', 'The servers of this service failed.', RETRY_AFTER_MS);
+  private failedRefusal(call: KnownCall): Refusal {
+    if (call.signal.aborted) return endReason(call.signal);
+    return this.options.clock.now() >= call.terms.deadlineAt
+      ? notRun('timed_out', 'No server of this service answered before the deadline.')
+      : notRun(
+          'upstream_failed',
+          'All servers that were tried for this call failed.',
+          RETRY_AFTER_MS,
+        );
   }
 
-  /** Runs a call once at most, for a caller that sends it again under another id or not at all. */
-  private async onceUnclaimed(work: KnownCall): Promise<Result<ServiceReply, Refusal>> {
-    const outcome = await this.tryUndispatched(work);
+  /** Runs a non-idempotent call at most once, without a claim: a retry of its caller is another call. */
+  private async serveOnceUnclaimed(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+    const outcome = await this.attemptUntilDispatched(call);
     switch (outcome.type) {
       case 'answer':
         return ok({ ...outcome.answer, replayed: false });
       case 'refused':
         return err(outcome.refusal);
       case 'failed':
-        return err(this.unclaimedRefusal(work, outcome));
+        return err(this.unclaimedRefusal(call, outcome));
       default:
         return outcome satisfies never;
     }
   }
 
-  private unclaimedRefusal(work: KnownCall, { error }: FailedTry): Refusal {
+  private unclaimedRefusal(call: KnownCall, { error }: FailedAttempt): Refusal {
     if (!error.dispatched) {
-      return notRun('upstream_failed', 'No server took the call.', RETRY_AFTER_MS);
+      return notRun('upstream_failed', 'No server accepted the call.', RETRY_AFTER_MS);
     }
-    const text = 'The call was sent, and no whole answer came back.';
-    return this.options.clock.now() >= work.terms.deadlineAt
+    const text = 'The call was sent, but no complete answer came back.';
+    return this.options.clock.now() >= call.terms.deadlineAt
       ? outcomeUnknown('timed_out', text)
       : outcomeUnknown('outcome_unknown', text);
   }
 
   /**
-   * Runs a call that must not repeat: claimed before dispatch, dispatched once.
+   * Runs a non-idempotent call at most once: it is claimed before dispatch and dispatched once.
    *
-   * After dispatch there is an answer or there is "outcome unknown". The claim stays then, so that
-   * a caller who sends the call again, here or at another host, does not run it a second time.
+   * A dispatched call ends with its answer or with an unknown outcome. Its claim is kept, so that a retry of
+   * the caller, here or at another host, does not run it a second time.
    */
-  private async onceClaimed(
-    work: KnownCall,
+  private async serveOnceClaimed(
+    call: KnownCall,
     claims: IdempotencyClaims,
   ): Promise<Result<ServiceReply, Refusal>> {
-    const req = this.claimRequest(work);
+    const req = this.claimRequest(call);
     if (req.isErr()) return err(req.error);
     const outcome = await claims.claim(req.value);
-    if (outcome.type === 'claimed') return this.runClaimed(work, claims, outcome.claim);
+    if (outcome.type === 'claimed') return this.runClaimed(call, claims, outcome.claim);
     if (outcome.type === 'finished' && outcome.answer !== undefined) {
       this.options.metrics.count('service.replayed');
       return ok({ ...outcome.answer, replayed: true });
@@ -176,14 +180,14 @@
   }
 
   private async runClaimed(
-    work: KnownCall,
+    call: KnownCall,
     claims: IdempotencyClaims,
     claim: Claim,
   ): Promise<Result<ServiceReply, Refusal>> {
-    const outcome = await this.tryUndispatched(work);
+    const outcome = await this.attemptUntilDispatched(call);
     switch (outcome.type) {
       case 'answer':
-        // The caller need not wait until the answer is stored; the claim alone bars a second run.
+        // Not awaited: the claim prevents a second run even before the answer is stored.
         void claims.finish(claim, outcome.answer);
         return ok({ ...outcome.answer, replayed: false });
       case 'refused':
@@ -192,142 +196,151 @@
       case 'failed':
         if (!outcome.error.dispatched) {
           await claims.abandon(claim);
-          return err(notRun('upstream_failed', 'No server took the call.', RETRY_AFTER_MS));
+          return err(notRun('upstream_failed', 'No server accepted the call.', RETRY_AFTER_MS));
         }
         void claims.leaveUnknown(claim);
         return err(
-          outcomeUnknown('outcome_unknown', 'The call was sent, and no whole answer came back.'),
+          outcomeUnknown('outcome_unknown', 'The call was sent, but no complete answer came back.'),
         );
       default:
         return outcome satisfies never;
     }
   }
 
-  private claimRequest(work: KnownCall): Result<ClaimRequest, Refusal> {
-    const { idempotencyKey, method, path, body } = work.req;
+  private claimRequest(call: KnownCall): Result<ClaimRequest, Refusal> {
+    const { idempotencyKey, method, path, body } = call.req;
     if (idempotencyKey === undefined) {
-      const text = 'This call runs at most once; send an Idempotency-Key.';
+      const text = 'This call runs at most once and needs an Idempotency-Key header.';
       return err(notRun('idempotency_key_required', text));
     }
     const [pathname = ''] = path.split('?');
     return ok({
-      team: work.caller.team.id,
-      service: work.service.id,
+      team: call.caller.team.id,
+      service: call.service.id,
       route: `${method} ${pathname}`,
       key: idempotencyKey,
       requestDigest: sha256Hex(`${method} ${path}\n${Buffer.from(body).toString('base64')}`),
-      attempt: work.id,
+      attempt: call.id,
       ...this.options.self,
     });
   }
 
-  /** Moves on to another server only while none can have been given the call. */
-  private async tryUndispatched(work: KnownCall): Promise<TryOutcome> {
-    const failures: FailedTry[] = [];
-    let outcome = await this.tryOnce(work, failures);
+  /** Retries on other servers only while the call cannot have reached one. */
+  private async attemptUntilDispatched(call: KnownCall): Promise<AttemptOutcome> {
+    const failures: FailedAttempt[] = [];
+    let outcome = await this.attemptOnce(call, failures);
     while (
       outcome.type === 'failed' &&
       !outcome.error.dispatched &&
       failures.length + 1 < MAX_TRIES &&
-      !work.signal.aborted &&
-      this.mayRepeat(work, [outcome])
+      !call.signal.aborted &&
+      this.mayRetry(call, [outcome])
     ) {
       failures.push(outcome);
-      outcome = await this.tryOnce(work, failures);
+      outcome = await this.attemptOnce(call, failures);
     }
     return outcome;
   }
 
-  private async tryOnce(work: KnownCall, failures: readonly FailedTry[]): Promise<TryOutcome> {
-    const call: GateCall = {
-      request: `${work.id}.${failures.length}`,
-      team: work.caller.team.id,
-      class: work.route.class,
-      maxWaitMs: work.terms.maxWaitMs,
-      lateAt: work.terms.lateAt,
+  private async attemptOnce(
+    call: KnownCall,
+    failures: readonly FailedAttempt[],
+  ): Promise<AttemptOutcome> {
+    const gateCall: GateCall = {
+      request: `${call.id}.${failures.length}`,
+      team: call.caller.team.id,
+      class: call.route.class,
+      maxWaitMs: call.terms.maxWaitMs,
+      lateAt: call.terms.lateAt,
       avoid: failures.map((failure) => failure.server),
     };
-    const chosen = await this.options.gates.choose(work.service.id, call, work.signal);
+    const chosen = await this.options.gates.choose(call.service.id, gateCall, call.signal);
     if (chosen.isErr()) return { type: 'refused', refusal: chosen.error };
     if (failures.length === 0) {
-      const request = { team: work.caller.team.id, service: work.service.id };
+      const request = { team: call.caller.team.id, service: call.service.id };
       this.options.repeats.attempted(request, [chosen.value], this.options.clock.now());
     }
-    const result = await this.dispatch(work, call, chosen.value);
-    this.options.gates.ended(work.service.id, call, chosen.value, hasFailed(result));
-    this.noteCrash(work, chosen.value, result);
-    this.noteStart(chosen.value, result);
+    const result = await this.dispatch(call, gateCall, chosen.value);
+    this.options.gates.ended(call.service.id, gateCall, chosen.value, hasFailed(result));
+    this.recordCrash(call, chosen.value, result);
+    this.recordReachability(chosen.value, result);
     if (result.isErr()) {
       const { type, dispatched, message } = result.error;
-      log('try_failed', { id: work.id, server: chosen.value, error: type, dispatched, message });
+      log('try_failed', { id: call.id, server: chosen.value, error: type, dispatched, message });
     }
     return result.match(
-      (answer): TryOutcome => ({ type: 'answer', server: chosen.value, answer }),
-      (error): TryOutcome => ({ type: 'failed', server: chosen.value, error }),
+      (answer): AttemptOutcome => ({ type: 'answer', server: chosen.value, answer }),
+      (error): AttemptOutcome => ({ type: 'failed', server: chosen.value, error }),
     );
   }
 
-  private noteCrash(
-    work: KnownCall,
+  private recordCrash(
+    call: KnownCall,
     server: UpstreamId,
     result: Result<ServiceAnswer, UpstreamError>,
   ): void {
-    const digest = digestOf(work);
+    const digest = digestOf(call);
     if (result.isOk()) this.options.crashes.succeeded(digest);
     else this.options.crashes.failed(digest, server, result.error);
   }
 
-  private noteStart(server: UpstreamId, result: Result<ServiceAnswer, UpstreamError>): void {
+  private recordReachability(
+    server: UpstreamId,
+    result: Result<ServiceAnswer, UpstreamError>,
+  ): void {
     const { slowStart, clock } = this.options;
     if (result.isOk()) slowStart.answered(server, clock.now());
     else if (reachedNobody(result.error)) slowStart.unreachable(server);
   }
 
-  private leftMs(work: KnownCall): Millis {
-    return work.terms.deadlineAt - this.options.clock.now();
+  private remainingMs(call: KnownCall): Millis {
+    return call.terms.deadlineAt - this.options.clock.now();
   }
 
   private dispatch(
-    work: KnownCall,
-    call: GateCall,
+    call: KnownCall,
+    gateCall: GateCall,
     server: UpstreamId,
   ): ResultAsync<ServiceAnswer, UpstreamError> {
     const client = this.options.directory.getServer(server)?.server;
     if (client === undefined) {
-      const gone: UpstreamError = { type: 'unreachable', dispatched: false, message: 'removed' };
-      return new ResultAsync(Promise.resolve(err(gone)));
+      const removed: UpstreamError = {
+        type: 'unreachable',
+        dispatched: false,
+        message: 'the server is no longer in the configuration',
+      };
+      return new ResultAsync(Promise.resolve(err(removed)));
     }
     this.options.metrics.count('service.dispatched');
-    // A dispatched call that must not repeat runs on after its caller has gone: its answer is
-    // recorded, and the caller gets it when it asks again.
-    const signal = work.route.idempotent ? work.signal : new AbortController().signal;
+    // A non-idempotent call goes on after its caller disconnects: its answer is recorded for a retry.
+    const signal = call.route.idempotent ? call.signal : new AbortController().signal;
     return client.call(
       {
-        attempt: call.request,
-        method: work.req.method,
-        path: work.req.path,
-        headers: work.req.headers,
-        body: work.req.body,
-        class: work.route.class,
-        timeoutMs: Math.min(work.service.timeoutMs, Math.max(1, this.leftMs(work))),
-        team: work.caller.team.id,
+        attempt: gateCall.request,
+        method: call.req.method,
+        path: call.req.path,
+        headers: call.req.headers,
+        body: call.req.body,
+        class: call.route.class,
+        timeoutMs: Math.min(call.service.timeoutMs, Math.max(1, this.remainingMs(call))),
+        team: call.caller.team.id,
       },
       signal,
     );
   }
 }
 
-function ownFailure(server: UpstreamId): FailedTry {
-  const message = 'the server answered with a failure of its own';
+function errorStatusFailure(server: UpstreamId): FailedAttempt {
+  const message = 'the server answered with an error status';
   return { server, error: { type: 'broken', dispatched: true, message } };
 }
 
 function hasFailed(result: Result<ServiceAnswer, UpstreamError>): boolean {
-  return result.isErr() || result.value.status >= FIRST_FAILURE_STATUS;
+  return result.isErr() || result.value.status >= MIN_FAILURE_STATUS;
 }
 
-/** A refusal must not say "not run" once a server may have run the call. */
-function truthful(refusal: Refusal, failures: readonly FailedTry[]): Refusal {
+/** Sets a refusal's `execution` to `unknown` once a server may have run the call. */
+function withExecution(refusal: Refusal, failures: readonly FailedAttempt[]): Refusal {
   const ran = failures.some((failure) => failure.error.dispatched);
   return ran ? { ...refusal, execution: 'unknown' } : refusal;
 }
--- a/packages/router/src/serving/StallWatch.ts
+++ b/packages/router/src/serving/StallWatch.ts
@@ -1,22 +1,22 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
-/** What a watch is made of. */
+/** Options of a {@link StallDetector}. */
 export interface StallWatchOptions {
   readonly clock: Clock;
-  /** Milliseconds without an event after which the engine is asked whether it is there. */
+  /** Milliseconds without an event after which the engine is probed. */
   readonly silentMs: Millis;
-  /** Asks the engine; resolves to false where it gives no answer, or another one has its address. */
+  /** Probes the engine; false where it does not answer, or another engine has taken over its address. */
   readonly isThere: () => Promise<boolean>;
-  /** Called once, where the engine is gone. */
+  /** Called once when a probe fails. */
   readonly onGone: () => void;
 }
 
 /**
- * Watches a stream for an engine that has gone without closing the connection.
+ * Detects that the engine of a stream disappeared without closing the connection.
  *
- * Such a stream would hold its caller until the caller gives up, although another engine could go on. A
- * stream also pauses while its engine reads other prompts or has preempted it, so silence alone is no
- * sign: the engine is asked.
+ * Without it the caller would wait until its own timeout, although another engine could resume the stream.
+ * A stream also pauses while its engine prefills other prompts or has preempted it, so silence alone is no
+ * failure: the engine is probed.
  */
 export class StallWatch {
   private readonly options: StallWatchOptions;
@@ -25,29 +25,29 @@
 
   private isClosed = false;
 
-  /** @param options - What it is made of. */
+  /** @param options - Clock, timeout, probe and callback. */
   constructor(options: StallWatchOptions) {
     this.options = options;
     this.progress();
   }
 
-  /** Notes that an event arrived. */
+  /** Restarts the timeout when an event arrives. */
   progress(): void {
     const { clock, silentMs } = this.options;
     this.cancelTimer();
     if (this.isClosed) return;
     this.cancelTimer = clock.after(silentMs, () => {
-      void this.ask();
+      void this.probe();
     });
   }
 
-  /** Ends the watch. */
+  /** Stops the detector. */
   close(): void {
     this.isClosed = true;
     this.cancelTimer();
   }
 
-  private async ask(): Promise<void> {
+  private async probe(): Promise<void> {
     const isThere = await this.options.isThere();
     if (this.isClosed) return;
     if (isThere) {
--- a/packages/router/src/serving/StreamPace.ts
+++ b/packages/router/src/serving/StreamPace.ts
@@ -1,15 +1,15 @@
 import type { Millis } from '@camphorvane/core';
 
-/** How a stream came to its caller, in milliseconds. */
+/** Latency of a stream as its caller sees it. */
 export interface StreamTimes {
-  /** From the arrival of the request to its first event; undefined before that. */
+  /** Milliseconds from the arrival of the request to the first event; undefined before that event. */
   readonly firstMs: Millis | undefined;
-  /** Longest time between two events. */
+  /** Longest time between two events, in milliseconds. */
   readonly longestPauseMs: Millis;
   readonly events: number;
 }
 
-/** Measures when the events of one stream are passed on. */
+/** Measures the latency of one stream's events. */
 export class StreamPace {
   private readonly startedAt: Millis;
 
@@ -26,7 +26,7 @@
     this.startedAt = startedAt;
   }
 
-  /** Notes that an event is passed on. */
+  /** Records that an event is sent to the caller. */
   note(now: Millis): void {
     if (this.firstAt === undefined) this.firstAt = now;
     else this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastAt);
@@ -34,7 +34,7 @@
     this.events += 1;
   }
 
-  /** Gets what was measured so far. */
+  /** Gets the latencies measured so far. */
   get(): StreamTimes {
     const { firstAt, startedAt, longestPauseMs, events } = this;
     const firstMs = firstAt === undefined ? undefined : firstAt - startedAt;
--- a/packages/router/src/serving/attemptEnds.ts
+++ b/packages/router/src/serving/attemptEnds.ts
@@ -2,7 +2,12 @@
 import type { UpstreamError } from '@camphorvane/upstream';
 import type { AttemptOutcome } from './completionAttemptPlan.ts';
 
-/** Gets how a reservation ends with an attempt. */
+/**
+ * Gets how an attempt ended, as its reservation is released with it.
+ *
+ * @param outcome - The outcome; undefined where the attempt was stopped before it had one.
+ * @param callerGone - Whether the caller closed its connection.
+ */
 export function endOf(outcome: AttemptOutcome | undefined, callerGone: boolean): ReservationEnd {
   if (callerGone || outcome === undefined) return 'caller_gone';
   switch (outcome.type) {
@@ -16,17 +21,25 @@
   }
 }
 
-/** The error of an engine that the configuration does not have, or not any more. */
+/** Gets the error for an engine that is not, or no longer, in the configuration. */
 export function unconfigured(): UpstreamError {
-  return { type: 'unreachable', dispatched: false, message: 'not in the configuration' };
+  return {
+    type: 'unreachable',
+    dispatched: false,
+    message: 'the engine is not in the configuration',
+  };
 }
 
-/** The error of an engine that has gone without closing the connection. */
+/** Gets the error for an engine that disappeared without closing its connection. */
 export function engineGone(): UpstreamError {
-  return { type: 'silent', dispatched: true, message: 'the engine is gone' };
+  return {
+    type: 'silent',
+    dispatched: true,
+    message: 'the engine stalled and failed a probe',
+  };
 }
 
-/** The error of a stream that ends before it says so. */
+/** Gets the error for a stream that closed without its final event. */
 export function endedEarly(): UpstreamError {
-  return { type: 'broken', dispatched: true, message: 'stream ended early' };
+  return { type: 'broken', dispatched: true, message: 'the stream closed before its final event' };
 }
--- a/packages/router/src/serving/completionAttemptPlan.ts
+++ b/packages/router/src/serving/completionAttemptPlan.ts
@@ -7,7 +7,7 @@
 import type { PlacedPair, Placer } from '../placing/Placer.ts';
 import type { ReservationKeeper } from '../placing/ReservationKeeper.ts';
 
-/** The parts of a host that an attempt uses. */
+/** Components of the host that an attempt uses. */
 export interface AttemptTools {
   readonly clock: Clock;
   readonly directory: UpstreamDirectory;
@@ -17,19 +17,19 @@
   readonly metrics: Metrics;
 }
 
-/** What one attempt is to run. */
+/** Input of one attempt. */
 export interface AttemptPlan {
   readonly pool: PoolConfig;
   readonly placement: PlacedPair;
   readonly identity: Pick<AdoptedReservation, 'request' | 'holder' | 'team'>;
   readonly prompt: Prompt;
   readonly prefixes: readonly PromptPrefix[];
-  /** Text already delivered by earlier attempts. */
+  /** Text that earlier attempts delivered. */
   readonly delivered: string;
   /** Position of the first token to deliver. */
   readonly fromPosition: number;
   readonly maxTokens: Tokens;
-  /** Pays for sending the request to one more engine; false where the budget is spent. */
+  /** Takes one retry from the budget, to send the request to another engine; false if none is left. */
   readonly mayRepeat: () => boolean;
 }
 
@@ -38,12 +38,12 @@
   | {
       readonly type: 'done';
       readonly reason: 'stop' | 'length';
-      /** Undefined where the decode engine ran the prompt itself. */
+      /** Undefined where the decode engine ran the prefill itself. */
       readonly prefill: PrefillResult | undefined;
       readonly outputTokens: Tokens;
     }
   | {
-      /** The decode engine gave a final answer of its own instead of a stream. */
+      /** The decode engine gave a final answer instead of a stream, such as an error. */
       readonly type: 'answered';
       readonly engine: UpstreamId;
       readonly head: AnswerHead;
@@ -51,7 +51,7 @@
     }
   | FailedAttempt;
 
-/** An attempt that failed, and where. */
+/** A failed attempt, with the engine and the stage at which it failed. */
 export interface FailedAttempt {
   readonly type: 'failed';
   readonly engine: UpstreamId;
@@ -59,7 +59,7 @@
   readonly error: UpstreamError;
 }
 
-/** One event of an attempt that is passed on. */
+/** An event of an attempt that is sent to the caller. */
 export type AttemptEvent =
   | { readonly type: 'head'; readonly head: AnswerHead }
   | { readonly type: 'token'; readonly position: number; readonly text: string }
--- a/packages/router/src/serving/completionWork.ts
+++ b/packages/router/src/serving/completionWork.ts
@@ -17,37 +17,37 @@
 import type { CompletionProgress } from './CompletionProgress.ts';
 import { CrashGuard } from './CrashGuard.ts';
 
-/** Attempts for one completion; more would let one bad prompt visit every engine. */
+/** Attempts for one completion; with more, one bad prompt could reach every engine. */
 export const MAX_ATTEMPTS = 4;
 
-/** How often and where a completion may run, and how long it may wait. */
+/** Limits on the attempts and waits of one completion, and its scheduling hints. */
 export interface CompletionTerms {
-  /** Most engines that may begin to give output. */
+  /** Most engines that may start to generate output. */
   readonly maxRuns: number;
-  /** Whether a stream may go on at another engine after one may have begun it. */
+  /** Whether another engine may resume the stream once one may have started it. */
   readonly resumable: boolean;
-  /** Position of the first token to deliver; above 0 where the caller goes on itself. */
+  /** Position of the first token to deliver; above 0 where the caller resumes a broken stream. */
   readonly fromPosition: number;
-  /** Output that is expected, in tokens; absent where nothing but the maximum is known. */
+  /** Expected tokens of output; absent where only the maximum is known. */
   readonly expectedTokens?: Tokens;
-  /** Longest wait for engines, in milliseconds; absent where the rules of the pool say it. */
+  /** Longest wait for engines, in milliseconds; absent where the wait rules apply. */
   readonly maxWaitMs?: Millis;
-  /** Milliseconds of waiting after which the first token is late; absent where it never is. */
+  /** Milliseconds of waiting after which the first token misses its target; absent without a target. */
   readonly onTimeMs?: Millis;
-  /** Longest pause between events that is on time, in milliseconds; absent: any. */
+  /** Longest pause between two events, in milliseconds; absent where it is not limited. */
   readonly longestPauseMs?: Millis;
-  /** Rank that the operators gave; lower goes first. */
+  /** Priority from the configuration; lower goes first. */
   readonly priority?: number;
 }
 
-/** Terms of our own interface: its answers are resumed at the exact token, so all may repeat. */
+/** Policy of the native API, which resumes every stream at the exact token. */
 export const TEXT_TERMS: CompletionTerms = {
   maxRuns: MAX_ATTEMPTS,
   resumable: true,
   fromPosition: 0,
 };
 
-/** A completion whose caller is known. */
+/** A completion whose caller is authenticated. */
 export interface KnownCompletion {
   readonly id: RequestId;
   readonly model: ModelId;
@@ -57,43 +57,47 @@
   readonly caller: AuthenticatedCaller;
   readonly config: RoutingConfig;
   readonly terms: CompletionTerms;
-  /** Aborted when the caller has gone, or with a refusal as reason when the host ends it. */
+  /** Aborted when the caller disconnects, or with a refusal as reason when the host ends the request. */
   readonly signal: AbortSignal;
 }
 
-/** What happens to a completion: what callers of our own interface get, and what is passed on. */
+/** An event of a completion: of the native API, or of a forwarded call. */
 export type ServingEvent =
   | CompletionEvent
   | { readonly type: 'head'; readonly head: AnswerHead }
   | { readonly type: 'piece'; readonly position: number; readonly bytes: Uint8Array }
   | { readonly type: 'answer'; readonly head: AnswerHead; readonly body: Uint8Array };
 
-/** A call that is passed on has not run while its prompt was only read; text was given away then. */
-export function wasGivenAway(work: KnownCompletion, progress: CompletionProgress): boolean {
-  return typeof work.prompt === 'string' ? progress.wasDispatched() : progress.getRuns() > 0;
+/**
+ * Tells whether a completion may have been executed, so that a refusal must not say `not_run`.
+ *
+ * For native text dispatch counts; for a forwarded call only a decode that may have started does.
+ */
+export function wasGivenAway(completion: KnownCompletion, progress: CompletionProgress): boolean {
+  return typeof completion.prompt === 'string' ? progress.wasDispatched() : progress.getRuns() > 0;
 }
 
-export function mayHaveRun(work: KnownCompletion, { stage, error }: FailedAttempt): boolean {
-  return error.dispatched && (stage === 'decode' || typeof work.prompt === 'string');
+/** Tells whether a failed attempt counts as an execution: see {@link mayHaveExecuted}. */
+export function mayHaveRun(completion: KnownCompletion, { stage, error }: FailedAttempt): boolean {
+  return error.dispatched && (stage === 'decode' || typeof completion.prompt === 'string');
 }
 
-/** What was dispatched cost its prompt; output that was never made is given back. */
+/** Gets the tokens to charge: prompt and delivered output of native text, all or none of a forwarded call. */
 export function usedTokens(
-  work: KnownCompletion,
+  completion: KnownCompletion,
   progress: CompletionProgress,
   charge: RateCharge,
 ): Tokens {
-  if (typeof work.prompt === 'string') return progress.getUsedTokens();
-  // A call that is passed on counts as a whole at the engine that begins it.
+  if (typeof completion.prompt === 'string') return progress.getUsedTokens();
   return progress.mayHaveBegun() ? charge.tokens : 0;
 }
 
 export function repeatTarget(
-  work: KnownCompletion,
+  completion: KnownCompletion,
   pool: PoolConfig,
   upstream: UpstreamId,
 ): RepeatTarget {
-  return { team: work.caller.team.id, service: pool.model, upstream };
+  return { team: completion.caller.team.id, service: pool.model, upstream };
 }
 
 export function digestOf({ model, prompt, caller }: KnownCompletion): string {
--- a/packages/router/src/serving/endReason.ts
+++ b/packages/router/src/serving/endReason.ts
@@ -2,10 +2,10 @@
 import { notRun } from '@camphorvane/core';
 
 /**
- * Gets why a request was ended from outside: the host's refusal, or that its caller has gone.
+ * Gets the refusal of an aborted request: the one that the host aborted it with, else `caller_gone`.
  *
  * @param signal - The request's aborted signal.
- * @returns The refusal; its `execution` is for whoever knows what ran.
+ * @returns The refusal; the caller of this function sets `execution`, as it knows what was dispatched.
  */
 export function endReason(signal: AbortSignal): Refusal {
   const reason: unknown = signal.reason;
--- a/packages/router/src/serving/findForwardRoute.ts
+++ b/packages/router/src/serving/findForwardRoute.ts
@@ -1,12 +1,12 @@
 import type { ForwardRoute, RouteTarget } from '@camphorvane/core';
 
 /**
- * Finds the route of a call that is passed on: the longest path prefix of its host name.
+ * Finds the route of a forwarded call: the one with its host name and the longest matching path prefix.
  *
- * @param routes - All routes.
- * @param host - Host name that the caller asked for.
+ * @param routes - The configured routes.
+ * @param host - Host name that the call was sent to.
  * @param path - The call's path, with its query.
- * @returns The route, if there is one.
+ * @returns The route, or undefined where none matches.
  */
 export function findForwardRoute(
   routes: readonly ForwardRoute[],
@@ -16,17 +16,17 @@
   const [pathname = ''] = path.split('?');
   return routes
     .filter((route) => route.host === host && pathname.startsWith(route.pathPrefix))
-    .reduce<ForwardRoute | undefined>(longer, undefined);
+    .reduce<ForwardRoute | undefined>(longerPrefix, undefined);
 }
 
-function longer(best: ForwardRoute | undefined, route: ForwardRoute): ForwardRoute {
+function longerPrefix(best: ForwardRoute | undefined, route: ForwardRoute): ForwardRoute {
   return best === undefined || route.pathPrefix.length > best.pathPrefix.length ? route : best;
 }
 
 /**
- * Chooses among the services of a route by their weights.
+ * Chooses one of a route's services at random, in proportion to their weights.
  *
- * @param targets - The services.
+ * @param targets - The services with their weights.
  * @param point - A random number in [0, 1).
  * @returns The service; undefined where no target has a weight.
  */
@@ -35,9 +35,9 @@
   point: number,
 ): RouteTarget | undefined {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = point * total;
+  let remaining = point * total;
   return targets.find(({ weight }) => {
-    left -= weight;
-    return weight > 0 && left < 0;
+    remaining -= weight;
+    return weight > 0 && remaining < 0;
   });
 }
--- a/packages/router/src/serving/findRoute.ts
+++ b/packages/router/src/serving/findRoute.ts
@@ -1,12 +1,12 @@
 import type { ServiceConfig, ServiceRoute } from '@camphorvane/core';
 
 /**
- * Finds the route of a call: the longest path prefix with the same method.
+ * Finds the route of a service call: the one with the call's method and the longest matching path prefix.
  *
  * @param service - The service.
  * @param method - The call's method.
  * @param path - The call's path, with its query.
- * @returns The route, if there is one.
+ * @returns The route, or undefined where none matches.
  */
 export function findRoute(
   service: ServiceConfig,
@@ -15,12 +15,12 @@
 ): ServiceRoute | undefined {
   const [pathname = ''] = path.split('?');
   const matches = service.routes.filter(
-    (route) => route.method === method && isBelow(pathname, route.path),
+    (route) => route.method === method && matchesPrefix(pathname, route.path),
   );
   return [...matches].sort((a, b) => b.path.length - a.path.length)[0];
 }
 
-function isBelow(pathname: string, prefix: string): boolean {
-  const bare = prefix.endsWith('/') ? prefix.slice(0, -1) : prefix;
-  return pathname === bare || pathname.startsWith(`${bare}/`);
+function matchesPrefix(pathname: string, prefix: string): boolean {
+  const base = prefix.endsWith('/') ? prefix.slice(0, -1) : prefix;
+  return pathname === base || pathname.startsWith(`${base}/`);
 }
--- a/packages/router/src/serving/promptPrefixes.ts
+++ b/packages/router/src/serving/promptPrefixes.ts
@@ -3,25 +3,25 @@
 import type { OpaquePrompt, Prompt } from '@camphorvane/core';
 import type { PromptPrefix } from '@camphorvane/decisions';
 
-/** Characters of the shortest prefix; each next one is twice as long. */
-const FIRST_PREFIX_CHARS = 1024;
+/** Characters of the shortest prefix; each further prefix is twice as long. */
+const SHORTEST_PREFIX_CHARS = 1024;
 
-/** Prefixes named for one prompt; the longest covers more text than any engine caches. */
+/** Most prefixes of one prompt; the longest covers more text than any engine caches. */
 const MAX_PREFIXES = 8;
 
 /**
- * Gets digests of growing prefixes of a prompt, by which a steward expects cache hits.
+ * Gets digests of a prompt's prefixes, by which the scheduler predicts hits in the engines' prefix caches.
  *
- * Doubling lengths keep the number small for prompts of any length; one pass hashes them all.
+ * Each prefix is twice as long as the one before, so that long prompts have few; one pass hashes them all.
  *
  * @param prompt - The prompt.
- * @returns Prefixes, shortest first; none for short prompts.
+ * @returns The prefixes, shortest first; none for a text shorter than the shortest prefix.
  */
 export function promptPrefixes(prompt: Prompt): readonly PromptPrefix[] {
   return typeof prompt === 'string' ? textPrefixes(prompt) : declaredPrefixes(prompt);
 }
 
-/** The callers name the parts, so nothing is hashed. */
+/** Callers declare the ids of the parts, so nothing is hashed. */
 function declaredPrefixes({ parts }: OpaquePrompt): readonly PromptPrefix[] {
   return parts.map((part, index) => ({
     digest: part.id,
@@ -32,7 +32,7 @@
 function textPrefixes(prompt: string): readonly PromptPrefix[] {
   const lengths = Array.from(
     { length: MAX_PREFIXES },
-    (_, i) => FIRST_PREFIX_CHARS * 2 ** i,
+    (_, i) => SHORTEST_PREFIX_CHARS * 2 ** i,
   ).filter((length) => length <= prompt.length);
   const hash = createHash('sha256');
   return lengths.map((length, index) => {
--- a/packages/router/src/serving/serviceWork.ts
+++ b/packages/router/src/serving/serviceWork.ts
@@ -4,21 +4,21 @@
 import type { RepeatTarget } from '../host/ports.ts';
 import { CrashGuard } from './CrashGuard.ts';
 
-/** How often and how long a call may be tried. */
+/** Limits on the attempts of one service call. */
 export interface CallTerms {
-  /** Servers that it may be tried on. */
+  /** Servers that the call may be sent to, one after another. */
   readonly maxTries: number;
-  /** Whether a call that must not repeat is claimed in the store by its Idempotency-Key. */
+  /** Whether a non-idempotent call is claimed in the store by its Idempotency-Key before dispatch. */
   readonly claimed: boolean;
-  /** Longest wait for a server, in milliseconds. */
+  /** Longest wait for a free server, in milliseconds. */
   readonly maxWaitMs: Millis;
-  /** Time from which on a call that still waits for a server is late; absent where none is. */
+  /** Time from which a call that still waits for a server misses its target; absent without a target. */
   readonly lateAt?: Millis;
-  /** Time at which the caller or the operators give up. */
+  /** Deadline of the call, set by its caller or by the configuration. */
   readonly deadlineAt: Millis;
 }
 
-/** A service call whose caller and route are known. */
+/** A service call whose caller is authenticated and whose route is resolved. */
 export interface KnownCall {
   readonly id: RequestId;
   readonly req: Pick<ServiceRequest, 'method' | 'path' | 'headers' | 'body' | 'idempotencyKey'>;
@@ -29,8 +29,8 @@
   readonly signal: AbortSignal;
 }
 
-export function repeatTarget(work: KnownCall, upstream: UpstreamId): RepeatTarget {
-  return { team: work.caller.team.id, service: work.service.id, upstream };
+export function repeatTarget(call: KnownCall, upstream: UpstreamId): RepeatTarget {
+  return { team: call.caller.team.id, service: call.service.id, upstream };
 }
 
 export function digestOf({ caller, req }: KnownCall): string {
--- a/packages/router/src/serving/teamRepeats.ts
+++ b/packages/router/src/serving/teamRepeats.ts
@@ -2,9 +2,9 @@
 import type { RepeatGate } from '../host/ports.ts';
 
 /**
- * Bounds repeats by the team that asks and the upstream that failed.
+ * Limits retries by the budgets of the caller's team and of the upstream that failed.
  *
- * @param budget - The budget of both.
+ * @param budget - The budgets of teams and upstreams.
  * @returns The gate.
  */
 export function teamRepeats(budget: RetryBudget): RepeatGate {
@@ -16,9 +16,9 @@
 }
 
 /**
- * Bounds repeats by the service that all hosts send to.
+ * Limits retries by the budget of the service, which all hosts share.
  *
- * @param budget - The budget of the service.
+ * @param budget - The budgets of services.
  * @returns The gate.
  */
 export function serviceRepeats(budget: RepeatBudget): RepeatGate {
--- a/packages/router/src/serving/waitBound.ts
+++ b/packages/router/src/serving/waitBound.ts
@@ -1,17 +1,19 @@
 import type { Millis, PoolConfig, RoutingConfig, TeamId, WorkClass } from '@camphorvane/core';
 
-/** Waits allowed where no rule says otherwise, in milliseconds. */
+/** Milliseconds that a certificate may wait where no rule matches. */
 const DEFAULT_CERTIFICATE_WAIT_MS: Millis = 5_000;
+
+/** Milliseconds that a summary may wait where no rule matches. */
 const DEFAULT_SUMMARY_WAIT_MS: Millis = 120_000;
 
 /**
- * Gets how long a request may wait for its place: by the first rule that matches, else by class.
+ * Gets how long a request may wait in the queue: by the first wait rule that matches, else by its class.
  *
  * @param config - The configuration in force.
- * @param pool - The pool that is asked for.
- * @param team - The team that asks.
- * @param cls - The class of the work.
- * @returns Milliseconds.
+ * @param pool - The requested pool.
+ * @param team - The team of the caller.
+ * @param cls - The class of the request.
+ * @returns The longest wait in milliseconds.
  */
 export function waitBound(
   config: RoutingConfig,
