--- a/packages/router/src/serving/CompletionServing.ts
+++ b/packages/router/src/serving/CompletionServing.ts
@@ -50,7 +50,7 @@
   error: { type: 'cancelled', dispatched: true, message: 'the consumer stopped reading' },
 };
 
-/** Options of a {@link CompletionHandler}. */
+/** Options of a `CompletionHandler`. */
 export interface CompletionServingOptions extends AttemptTools {
   readonly self: HostId;
   readonly rates: RateGate;
--- a/packages/router/src/serving/CrashGuard.ts
+++ b/packages/router/src/serving/CrashGuard.ts
@@ -9,7 +9,7 @@
 /** Milliseconds to wait for a peer to acknowledge a crash report. */
 const REPORT_TIMEOUT_MS: Millis = 1_000;
 
-/** Options of a {@link CrashGuard}. */
+/** Options of a `CrashGuard`. */
 export interface CrashGuardOptions {
   readonly self: HostId;
   readonly clock: Clock;
--- a/packages/router/src/serving/Forwarding.ts
+++ b/packages/router/src/serving/Forwarding.ts
@@ -67,7 +67,7 @@
 
 const log = stateLog('request');
 
-/** Options of a {@link ForwardHandler}. */
+/** Options of a `ForwardHandler`. */
 export interface ForwardingOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -107,7 +107,7 @@
     this.options = options;
   }
 
-  /** Serves one call, as {@link ForwardBackend} says; aborting the signal ends it. */
+  /** Serves one call, as `ForwardBackend` says; aborting the signal ends it. */
   async *forward(
     id: RequestId,
     req: ForwardRequest,
--- a/packages/router/src/serving/ServiceServing.ts
+++ b/packages/router/src/serving/ServiceServing.ts
@@ -29,7 +29,7 @@
 
 const log = stateLog('service');
 
-/** Options of a {@link ServiceCallHandler}. */
+/** Options of a `ServiceCallHandler`. */
 export interface ServiceServingOptions {
   readonly clock: Clock;
   readonly directory: UpstreamDirectory;
--- a/packages/router/src/serving/StallWatch.ts
+++ b/packages/router/src/serving/StallWatch.ts
@@ -1,6 +1,6 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
-/** Options of a {@link StallDetector}. */
+/** Options of a `StallDetector`. */
 export interface StallWatchOptions {
   readonly clock: Clock;
   /** Milliseconds without an event after which the engine is probed. */
--- a/packages/router/src/serving/completionWork.ts
+++ b/packages/router/src/serving/completionWork.ts
@@ -77,7 +77,7 @@
   return typeof completion.prompt === 'string' ? progress.wasDispatched() : progress.getRuns() > 0;
 }
 
-/** Tells whether a failed attempt counts as an execution: see {@link mayHaveExecuted}. */
+/** Tells whether a failed attempt counts as an execution: see `mayHaveExecuted`. */
 export function mayHaveRun(completion: KnownCompletion, { stage, error }: FailedAttempt): boolean {
   return error.dispatched && (stage === 'decode' || typeof completion.prompt === 'string');
 }
