--- a/packages/router/tests/support/ForwardFleet.ts
+++ b/packages/router/tests/support/ForwardFleet.ts
@@ -30,28 +30,28 @@
 
 export const KEY = 'the-key';
 
-/** What an engine does with one decode command. */
+/** Scripted reaction of an engine to a decode command. */
 export type DecodeScript = (
   cmd: DecodeCommand,
   signal: AbortSignal,
 ) => AsyncIterable<Result<DecodeEvent, UpstreamError>>;
 
-/** What a plain server does with one call. */
+/** Scripted reaction of a plain server to a call. */
 export type CallScript = (
   call: ServiceCall,
   signal: AbortSignal,
 ) => ResultAsync<ServiceAnswer, UpstreamError>;
 
-/** Scripts of the upstreams, and what they saw. */
+/** Scripts of the upstreams, and settings of the host. */
 export interface ForwardFleetOptions {
   readonly decode?: Readonly<Record<string, DecodeScript>>;
   readonly call?: Readonly<Record<string, CallScript>>;
   readonly route?: Partial<ForwardRoute>;
-  /** Engines that answer when they are asked for their load; none where absent. */
+  /** Engines that answer load probes; none where absent. */
   readonly answering?: readonly string[];
-  /** Called while an engine reads a prompt. */
+  /** Called during each prefill. */
   readonly onPrefill?: () => void;
-  /** Repeats beyond the first one, which can always be paid. */
+  /** Slack of the retry budget, which always allows one retry; 0 also disables the retries that requests earn. */
   readonly repeats?: number;
 }
 
@@ -60,7 +60,7 @@
   attempts: [],
 };
 
-/** One host between scripted engines and servers, without a network. */
+/** A host with scripted engines and servers, without a network. */
 export class ForwardFleet {
   readonly prefills: string[] = [];
 
@@ -72,23 +72,23 @@
 
   readonly host: Host;
 
-  private inForce: VersionedConfig;
+  private currentConfig: VersionedConfig;
 
   private readonly listeners: ((config: VersionedConfig) => void)[] = [];
 
   private readonly clock = new SystemClock();
 
-  /** All fleets of a test file, which ends them so that no task outlives its tests. */
-  private static readonly all: ForwardFleet[] = [];
+  /** All fleets of a test file, so that it can stop their background tasks. */
+  private static readonly instances: ForwardFleet[] = [];
 
-  /** Ends all fleets. */
+  /** Stops the hosts of all fleets. */
   static stopAll(): void {
-    ForwardFleet.all.forEach((fleet) => fleet.host.stop());
+    ForwardFleet.instances.forEach((fleet) => fleet.host.stop());
   }
 
   constructor(private readonly options: ForwardFleetOptions) {
-    ForwardFleet.all.push(this);
-    this.inForce = { version: 1, config: this.config() };
+    ForwardFleet.instances.push(this);
+    this.currentConfig = { version: 1, config: this.config() };
     this.host = new Host({
       identity: { host: 'h', zone: 'a', callerAddress: 'h:1', peerAddress: 'h:2' },
       incarnation: 'i',
@@ -103,10 +103,10 @@
     this.host.start();
   }
 
-  /** Sends a request, and gets all events of its answer. */
+  /** Sends a request to the host, and collects the events of its answer. */
   async send(
     path: string,
-    change: Partial<ForwardRequest> = {},
+    overrides: Partial<ForwardRequest> = {},
     signal = new AbortController().signal,
   ): Promise<readonly ForwardEvent[]> {
     const req: ForwardRequest = {
@@ -118,16 +118,16 @@
       body: Buffer.from('body'),
       patienceMs: 2_000,
       work: { promptTokens: 100, maxTokens: 50, parts: [], lastPosition: undefined },
-      ...change,
+      ...overrides,
     };
     const events: ForwardEvent[] = [];
     for await (const event of this.host.forwarding.forward('r1', req, signal)) events.push(event);
     return events;
   }
 
-  /** Takes engines and servers out of the configuration. */
+  /** Removes engines and servers from the configuration. */
   remove(ids: readonly string[]): void {
-    const { pools, services, ...rest } = this.inForce.config;
+    const { pools, services, ...rest } = this.currentConfig.config;
     const config: RoutingConfig = {
       ...rest,
       pools: pools.map((pool) => ({
@@ -139,8 +139,8 @@
         servers: service.servers.filter(({ id }) => !ids.includes(id)),
       })),
     };
-    this.inForce = { version: this.inForce.version + 1, config };
-    this.listeners.forEach((listener) => listener(this.inForce));
+    this.currentConfig = { version: this.currentConfig.version + 1, config };
+    this.listeners.forEach((listener) => listener(this.currentConfig));
   }
 
   private config(): RoutingConfig {
@@ -228,12 +228,12 @@
     });
     return {
       config: {
-        current: () => this.inForce,
+        current: () => this.currentConfig,
         isConfirmed: () => true,
         confirmNow: async () => true,
         onChange: (listener) => {
           this.listeners.push(listener);
-          listener(this.inForce);
+          listener(this.currentConfig);
           return () => undefined;
         },
         state: () => ({ version: 1 }),
@@ -261,7 +261,7 @@
     const rejected = errAsync<never, UpstreamError>({
       type: 'rejected',
       dispatched: false,
-      message: 'not offered',
+      message: 'not supported by this fake',
     });
     return {
       id: cfg.id,
@@ -296,7 +296,7 @@
   }
 }
 
-/** Pieces of a scripted stream; each has its position as its text. */
+/** Yields the head and the events of a scripted stream; the text of each event is its position. */
 export async function* pieces(
   cmd: DecodeCommand,
   from: number,
@@ -311,7 +311,7 @@
   }
 }
 
-/** A stream of four pieces, from where the command says. */
+/** Yields a complete stream of four events, starting at the command's position. */
 export async function* wholeStream(
   cmd: DecodeCommand,
 ): AsyncGenerator<Result<DecodeEvent, UpstreamError>> {
@@ -319,7 +319,7 @@
   yield ok({ type: 'done', attempt: cmd.attempt, reason: 'stop', outputTokens: 4 });
 }
 
-/** A stream that ends with an error after some pieces. */
+/** Gets a script that fails with an error after the event before position `to`. */
 export function failing(to: number, error: UpstreamError): DecodeScript {
   return async function* script(cmd) {
     if (to > 0) yield* pieces(cmd, cmd.fromPosition, to);
@@ -327,19 +327,19 @@
   };
 }
 
-/** A call that is answered. */
+/** Answers a call with status 200. */
 export function wholeCall(): ResultAsync<ServiceAnswer, UpstreamError> {
   return okAsync({ status: 200, headers: {}, body: Buffer.from('ok') });
 }
 
-/** Gets the text of an answer. */
+/** Joins the data events of an answer into its text. */
 export function textOfAnswer(events: readonly ForwardEvent[]): string {
   return events
     .flatMap((event) => (event.type === 'data' ? [Buffer.from(event.bytes).toString()] : []))
     .join('');
 }
 
-/** Gets how an answer ended: `done`, or the refusal's code and execution. */
+/** Describes the last event of an answer: its type, or the refusal's code and execution. */
 export function endOf(events: readonly ForwardEvent[]): string {
   const last = events.at(-1);
   if (last?.type !== 'refused') return last?.type ?? 'nothing';
