--- a/packages/router/src/placing/EngineProbes.ts
+++ b/packages/router/src/placing/EngineProbes.ts
@@ -3,112 +3,113 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import { stateLog } from '../observe/StateLog.ts';
 
-/** Milliseconds after a probe without an answer before the next one; each further one waits longer. */
-const FIRST_RETRY_MS: Millis = 300;
+/** Milliseconds between a failed probe and the first retry; doubles with each further failure. */
+const INITIAL_RETRY_MS: Millis = 300;
 
 /**
- * Longest time between two probes, in milliseconds. An engine that starts again is mostly listed under
- * another name, so that the old name never answers; the few that keep theirs are back after seconds.
+ * Maximum back-off between two probes, in milliseconds. Most engines are listed under a new name after a
+ * restart, and the old name never answers again; the few that keep their name are back within seconds.
  */
-const LONGEST_RETRY_MS: Millis = 1_500;
+const MAX_RETRY_MS: Millis = 1_500;
 
-/** Milliseconds for which a probe that was answered stands against what a peer says. */
-const ANSWER_LIFE_MS: Millis = 2_000;
+/** Milliseconds for which a successful probe overrides a peer's report that the engine is down. */
+const PROBE_RESULT_TTL_MS: Millis = 2_000;
 
-/** Part of the engines above which a host takes itself for cut off, and not the engines for down. */
-const LIKELY_DOWN_PART = 0.5;
+/** Fraction of the engines found down above which this host assumes that it is partitioned itself. */
+const MAX_DOWN_FRACTION = 0.5;
 
 const log = stateLog('engines');
 
-/** What probes are made with. */
+/** Dependencies of {@link EngineProbes}. */
 export interface EngineProbesOptions {
   readonly clock: Clock;
   readonly directory: Pick<UpstreamDirectory, 'getEngine' | 'getEngineIds'>;
   readonly health: EngineHealth;
   readonly slowStart: SlowStart;
-  /** Called after each change of what is known to be down. */
+  /** Called after each change of the engines known to be down. */
   readonly onChange: () => void;
 }
 
 /**
- * Finds out whether an engine is up, by a question that costs it nothing.
+ * Probes suspected engines by reading their load report, which costs an engine nothing.
  *
- * An engine that crashes is still listed for some seconds. Tried with requests, each host loses several
- * to it, and with each of them a prompt that was read for nothing. One failure, here or at a peer, is enough to take it out of use until it answers again. A
- * peer's hint alone does not: a host that is cut off would take all engines from the others.
+ * A crashed engine stays listed for some seconds. If requests were the probes, each host would lose
+ * several of them, each with a wasted prefill. So a single failure, here or reported by a peer, takes an
+ * engine out of use, but only until it answers this host's probe: by its reports alone, a partitioned host
+ * would take all engines away from the others.
  */
 export class EngineProbes {
   private readonly options: EngineProbesOptions;
 
-  /** Engines that are being asked. */
-  private readonly asking = new Set<UpstreamId>();
+  /** Engines that are being probed. */
+  private readonly probing = new Set<UpstreamId>();
 
-  /** Engines that gave no answer. */
+  /** Engines whose last probe failed. */
   private readonly down = new Set<UpstreamId>();
 
-  /** Next questions to engines that gave no answer. */
-  private readonly timers = new Map<UpstreamId, CancelTimer>();
+  /** Timers of the next probes of engines that are down. */
+  private readonly retryTimers = new Map<UpstreamId, CancelTimer>();
 
-  private hasStopped = false;
+  private isStopped = false;
 
   private readonly answeredAt = new Map<UpstreamId, Millis>();
 
-  /** @param options - What they are made with. */
+  /** @param options - Dependencies. */
   constructor(options: EngineProbesOptions) {
     this.options = options;
   }
 
-  /** Takes an engine out of use until it answers a probe, because a request failed on it. */
+  /** Takes an engine on which a request failed out of use until it answers a probe. */
   suspect(engine: UpstreamId): void {
-    if (this.hasStopped || this.asking.has(engine)) return;
-    this.asking.add(engine);
+    if (this.isStopped || this.probing.has(engine)) return;
+    this.probing.add(engine);
     this.options.health.suspect(engine);
-    void this.ask(engine, FIRST_RETRY_MS);
+    void this.probe(engine, INITIAL_RETRY_MS);
   }
 
-  /** Takes in which engines a peer finds down. */
+  /** Probes the engines that a peer reports as down, except those that answered a moment ago. */
   receive(engines: readonly UpstreamId[]): void {
     const now = this.options.clock.now();
     engines
-      .filter((engine) => now - (this.answeredAt.get(engine) ?? -Infinity) > ANSWER_LIFE_MS)
+      .filter((engine) => now - (this.answeredAt.get(engine) ?? -Infinity) > PROBE_RESULT_TTL_MS)
       .forEach((engine) => this.suspect(engine));
   }
 
   /**
-   * Gets the engines that gave no answer to this host, to be told to its peers. A host that finds most
-   * of them down is more likely cut off itself, and says nothing.
+   * Gets the engines to report to peers as down. None are reported where most are down: this host is then
+   * more likely partitioned itself.
    */
   getDown(): readonly UpstreamId[] {
     const listed = this.options.directory.getEngineIds().length;
-    return this.down.size > listed * LIKELY_DOWN_PART ? [] : [...this.down];
+    return this.down.size > listed * MAX_DOWN_FRACTION ? [] : [...this.down];
   }
 
-  /** Asks no engine any more. */
+  /** Stops probing. */
   stop(): void {
-    this.hasStopped = true;
-    this.timers.forEach((cancel) => cancel());
+    this.isStopped = true;
+    this.retryTimers.forEach((cancel) => cancel());
   }
 
-  private async ask(id: UpstreamId, retryMs: Millis): Promise<void> {
+  private async probe(id: UpstreamId, retryMs: Millis): Promise<void> {
     const { clock, directory } = this.options;
     const engine = directory.getEngine(id)?.engine;
     const report = await engine?.load();
     if (report?.isErr() !== true) {
-      this.end(id, report === undefined ? 'not_listed' : 'answered');
+      this.finish(id, report === undefined ? 'not_listed' : 'answered');
       return;
     }
-    this.noteDown(id, report.error.message);
-    if (this.hasStopped) return;
-    const nextMs = Math.min(LONGEST_RETRY_MS, retryMs * 2);
-    this.timers.set(
+    this.markDown(id, report.error.message);
+    if (this.isStopped) return;
+    const nextMs = Math.min(MAX_RETRY_MS, retryMs * 2);
+    this.retryTimers.set(
       id,
       clock.after(retryMs, () => {
-        void this.ask(id, nextMs);
+        void this.probe(id, nextMs);
       }),
     );
   }
 
-  private noteDown(id: UpstreamId, reason: string): void {
+  private markDown(id: UpstreamId, reason: string): void {
     if (this.down.has(id)) return;
     this.down.add(id);
     this.options.slowStart.unreachable(id);
@@ -116,9 +117,9 @@
     this.options.onChange();
   }
 
-  private end(id: UpstreamId, reason: 'answered' | 'not_listed'): void {
-    this.asking.delete(id);
-    this.timers.delete(id);
+  private finish(id: UpstreamId, reason: 'answered' | 'not_listed'): void {
+    this.probing.delete(id);
+    this.retryTimers.delete(id);
     this.answeredAt.set(id, this.options.clock.now());
     this.options.health.trust(id);
     if (reason === 'not_listed') this.answeredAt.delete(id);
--- a/packages/router/src/placing/EngineWatch.ts
+++ b/packages/router/src/placing/EngineWatch.ts
@@ -3,10 +3,13 @@
 import type { EngineObservation } from '@camphorvane/decisions';
 import type { Placer } from './Placer.ts';
 
-/** Milliseconds between two messages with observations. */
+/** Milliseconds between two batches of observations. */
 const FLUSH_PERIOD_MS: Millis = 500;
 
-/** Observations kept for one pool while no steward answers; older ones say nothing any more. */
+/**
+ * Observations kept for one pool while its coordinator does not answer; the oldest are dropped, as they
+ * are out of date by then.
+ */
 const MAX_PENDING = 256;
 
 interface IntervalSum {
@@ -15,7 +18,7 @@
   readonly streams: Set<string>;
 }
 
-/** Gathers what a host sees of engines, and tells whoever places on them in batches. */
+/** Collects this host's observations of engines and passes them to the placer in batches. */
 export class EngineWatch {
   private readonly clock: Clock;
 
@@ -27,14 +30,14 @@
 
   /**
    * @param clock - Times the batches.
-   * @param placer - Takes the batches.
+   * @param placer - Receives the batches.
    */
   constructor(clock: Clock, placer: Placer) {
     this.clock = clock;
     this.placer = placer;
   }
 
-  /** Takes in the time between two tokens of one stream. */
+  /** Adds the time between two tokens of one stream to the mean of the next batch. */
   interval(model: ModelId, engine: UpstreamId, stream: string, ms: Millis): void {
     const engines = this.intervals.get(model) ?? new Map<UpstreamId, IntervalSum>();
     const sum = engines.get(engine) ?? { totalMs: 0, count: 0, streams: new Set<string>() };
@@ -45,13 +48,13 @@
     this.intervals.set(model, engines);
   }
 
-  /** Takes in one observation. */
+  /** Adds an observation to the next batch. */
   seen(model: ModelId, observation: EngineObservation): void {
     const list = this.pending.get(model) ?? [];
     this.pending.set(model, [...list.slice(1 - MAX_PENDING), observation]);
   }
 
-  /** Sends batches until stopped. */
+  /** Sends batches until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await sleep(this.clock, FLUSH_PERIOD_MS, signal);
--- a/packages/router/src/placing/FallbackPlacer.ts
+++ b/packages/router/src/placing/FallbackPlacer.ts
@@ -11,149 +11,152 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import { PoolSteward } from './PoolSteward.ts';
 
-/** Milliseconds without a request after which the fallback of a pool is closed. */
-const IDLE_LIFE_MS: Millis = 10_000;
+/** Milliseconds without a request after which the fallback of a pool is closed, if it holds nothing. */
+const IDLE_TIMEOUT_MS: Millis = 10_000;
 
-/** What a fallback placer is made of. */
+/** Dependencies of {@link FallbackPlacer}. */
 export interface FallbackPlacerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly directory: UpstreamDirectory;
   /** Gets how many hosts share the engines. */
   readonly hostCount: () => number;
-  /** Names this start of this host. */
+  /** Incarnation of this host; keeps reservation ids unique across its restarts. */
   readonly incarnation: string;
 }
 
-interface OpenFallback {
-  readonly steward: PoolSteward;
+interface ActiveFallback {
+  readonly coordinator: PoolSteward;
   lastUsed: Millis;
 }
 
 /**
- * Places requests on this host alone while no host coordinates their pool.
+ * Places requests locally while their pool has no reachable coordinator.
  *
- * It is made for the seconds after the coordinating host of a pool has died or fallen silent, in
- * which every lookup would otherwise miss its target. Each host then takes an equal part of what
- * the engines report as free, so that all hosts together do not overfill them; a report lags, so
- * the part is smaller than what a coordinator could give away, and summaries wait for one instead.
+ * Bridges the seconds after a coordinator has crashed or stopped answering, in which every lookup would
+ * otherwise miss its target. Each host may use an equal share of the memory that the engines report as
+ * free, so that the hosts together do not overcommit it. As load reports lag, the share is smaller than
+ * what a coordinator could assign; summaries therefore wait for a coordinator.
  */
 export class FallbackPlacer {
   private readonly options: FallbackPlacerOptions;
 
-  private readonly open = new Map<ModelId, Promise<OpenFallback | undefined>>();
+  private readonly active = new Map<ModelId, Promise<ActiveFallback | undefined>>();
 
-  private opened = 0;
+  private createdCount = 0;
 
-  private placed = 0;
+  private placedCount = 0;
 
-  /** @param options - What the placer is made of. */
+  /** @param options - Dependencies. */
   constructor(options: FallbackPlacerOptions) {
     this.options = options;
   }
 
   /**
-   * Asks for a place out of this host's part.
+   * Requests engines within this host's share.
    *
    * @param model - The pool's model.
    * @param item - The request.
-   * @returns A place, a refusal, or that it still waits; undefined for an unknown model.
+   * @returns A placement, a refusal, or that the request still waits; undefined for an unknown model.
    */
   async reserve(model: ModelId, item: WorkItem): Promise<PeerResponse | undefined> {
     const fallback = await this.fallbackFor(model);
     if (fallback === undefined) return undefined;
     fallback.lastUsed = this.options.clock.now();
-    const res = await fallback.steward.reserve(item);
-    if (res.type === 'placed') this.placed += 1;
+    const res = await fallback.coordinator.reserve(item);
+    if (res.type === 'placed') this.placedCount += 1;
     return res;
   }
 
-  /** Takes a request out of the queue, if it is there. */
+  /** Removes a request from the queue, if it is queued here. */
   withdraw(model: ModelId, request: string): void {
-    void this.whenOpen(model, (steward) => steward.withdraw(request));
+    void this.withActive(model, (coordinator) => coordinator.withdraw(request));
   }
 
-  /** Extends what was placed here; reservations of others are ignored. */
+  /** Renews the reservations made here; others are ignored. */
   renew(model: ModelId, held: readonly AdoptedReservation[]): void {
-    void this.whenOpen(model, (steward) => steward.renew(held));
+    void this.withActive(model, (coordinator) => coordinator.renew(held));
   }
 
-  /** Marks that the prefill of a reservation is over. */
+  /** Frees the prefill engine of a reservation, if it was made here. */
   prefillEnded(model: ModelId, reservation: string): void {
-    void this.whenOpen(model, (steward) => steward.prefillEnded(reservation));
+    void this.withActive(model, (coordinator) => coordinator.prefillEnded(reservation));
   }
 
-  /** Ends a reservation, if it was placed here. */
+  /** Ends a reservation, if it was made here. */
   release(model: ModelId, reservation: string, end: ReservationEnd): void {
-    void this.whenOpen(model, (steward) => steward.release(reservation, end));
+    void this.withActive(model, (coordinator) => coordinator.release(reservation, end));
   }
 
-  /** Gets the state to be shown to operators. */
+  /** Gets the state shown to operators. */
   dump(): object {
-    return { pools: [...this.open.keys()], placed: this.placed };
+    return { pools: [...this.active.keys()], placed: this.placedCount };
   }
 
-  /** Ends all placing. */
+  /** Closes the fallbacks of all pools. */
   stop(): void {
-    [...this.open.keys()].forEach((model) => {
-      void this.whenOpen(model, (steward) => steward.stop());
+    [...this.active.keys()].forEach((model) => {
+      void this.withActive(model, (coordinator) => coordinator.stop());
     });
-    this.open.clear();
+    this.active.clear();
   }
 
-  private async whenOpen(model: ModelId, run: (steward: PoolSteward) => void): Promise<void> {
-    const fallback = await this.open.get(model);
-    if (fallback !== undefined) run(fallback.steward);
+  private async withActive(model: ModelId, run: (coordinator: PoolSteward) => void): Promise<void> {
+    const fallback = await this.active.get(model);
+    if (fallback !== undefined) run(fallback.coordinator);
   }
 
-  private fallbackFor(model: ModelId): Promise<OpenFallback | undefined> {
-    const known = this.open.get(model);
+  private fallbackFor(model: ModelId): Promise<ActiveFallback | undefined> {
+    const known = this.active.get(model);
     if (known !== undefined) return known;
-    const made = this.make(model);
-    this.open.set(model, made);
-    return made;
+    const fallback = this.create(model);
+    this.active.set(model, fallback);
+    return fallback;
   }
 
-  private async make(model: ModelId): Promise<OpenFallback | undefined> {
+  private async create(model: ModelId): Promise<ActiveFallback | undefined> {
     const pool = this.options.directory.getPool(model);
     if (pool === undefined) {
-      this.open.delete(model);
+      this.active.delete(model);
       return undefined;
     }
-    const engines = await Promise.all(pool.engines.map((engine) => this.partOf(engine)));
-    this.opened += 1;
-    const steward = new PoolSteward({
+    const engines = await Promise.all(pool.engines.map((engine) => this.limitToShare(engine)));
+    this.createdCount += 1;
+    const coordinator = new PoolSteward({
       model,
       pool: { ...pool, engines: engines.flat() } satisfies PoolConfig,
       clock: this.options.clock,
       random: this.options.random,
       directory: this.options.directory,
-      prefix: `${this.options.incarnation}.f${this.opened}`,
+      prefix: `${this.options.incarnation}.f${this.createdCount}`,
       mayAct: () => true,
       listenMs: 0,
     });
-    const fallback = { steward, lastUsed: this.options.clock.now() };
+    const fallback = { coordinator, lastUsed: this.options.clock.now() };
     this.closeWhenIdle(model, fallback);
     return fallback;
   }
 
-  /** An engine that does not answer is left out: nothing is known of what it has free. */
-  private async partOf(engine: EngineConfig): Promise<readonly EngineConfig[]> {
+  /**
+   * Limits an engine's memory to what is in use plus this host's share of the rest. An engine that does
+   * not answer is left out, since its free memory is unknown.
+   */
+  private async limitToShare(engine: EngineConfig): Promise<readonly EngineConfig[]> {
     const load = await this.options.directory.getEngine(engine.id)?.engine.load();
     if (load === undefined || load.isErr()) return [];
     const { usedPieces } = load.value;
     const free = Math.max(0, engine.memoryPieces - usedPieces);
-    const part = Math.floor(free / Math.max(1, this.options.hostCount()));
-    return [{ ...engine, memoryPieces: usedPieces + part }];
+    const share = Math.floor(free / Math.max(1, this.options.hostCount()));
+    return [{ ...engine, memoryPieces: usedPieces + share }];
   }
 
-  private closeWhenIdle(model: ModelId, fallback: OpenFallback): void {
-    const idleFor = this.options.clock.now() - fallback.lastUsed;
-    if (idleFor >= IDLE_LIFE_MS && fallback.steward.isIdle()) {
-      fallback.steward.stop();
-      this.open.delete(model);
+  private closeWhenIdle(model: ModelId, fallback: ActiveFallback): void {
+    const idleMs = this.options.clock.now() - fallback.lastUsed;
+    if (idleMs >= IDLE_TIMEOUT_MS && fallback.coordinator.isIdle()) {
+      fallback.coordinator.stop();
+      this.active.delete(model);
       return;
     }
-    this.options.clock.after(IDLE_LIFE_MS, () => this.closeWhenIdle(model, fallback));
+    this.options.clock.after(IDLE_TIMEOUT_MS, () => this.closeWhenIdle(model, fallback));
   }
 }
--- a/packages/router/src/placing/HeldWork.ts
+++ b/packages/router/src/placing/HeldWork.ts
@@ -3,69 +3,74 @@
 import type { HeldReservation } from './localPool.ts';
 
 /**
- * Keeps what the placed requests of this host have on the engines, from their placing to their end.
+ * Tracks the engine memory, streams and queued prompts of this host's placed requests.
  *
- * All that is taken is given back whichever way a request ends; peers are told the sums, and place by
- * them.
+ * Everything a request uses is released however it ends. Peers receive the totals of each engine and
+ * take them into account when they place requests.
  */
 export class HeldWork {
   private readonly knowledge: EngineKnowledge;
 
   private readonly prefix: string;
 
-  private readonly held = new Map<ReservationId, HeldReservation>();
+  private readonly reservations = new Map<ReservationId, HeldReservation>();
 
-  /** Reservations whose prompt is not read yet. */
+  /** Reservations whose prefill has not finished. */
   private readonly prefilling = new Set<ReservationId>();
 
-  private begun = 0;
+  private startedCount = 0;
 
   /**
-   * @param knowledge - Takes in what is held, and how fast prompts were read.
-   * @param prefix - Names this start of the host; reservations begin with it.
+   * @param knowledge - Receives the use of the engines and the prefill speeds measured.
+   * @param prefix - Prefix of reservation ids, unique to this incarnation of the host.
    */
   constructor(knowledge: EngineKnowledge, prefix: string) {
     this.knowledge = knowledge;
     this.prefix = prefix;
   }
 
-  /** Gets how many requests hold something. */
+  /** Gets the number of active reservations. */
   get size(): number {
-    return this.held.size;
+    return this.reservations.size;
   }
 
-  /** Gets how many requests were placed since the start. */
+  /** Gets the number of reservations made since the host started. */
   get count(): number {
-    return this.begun;
+    return this.startedCount;
   }
 
-  /** Gets what a request holds; undefined once it has ended. */
+  /** Gets an active reservation; undefined once it has been released. */
   get(reservation: ReservationId): HeldReservation | undefined {
-    return this.held.get(reservation);
+    return this.reservations.get(reservation);
   }
 
-  /** Takes room on the engines of a request that is placed now. */
+  /** Reserves the engines of a request that is placed now. */
   begin(work: Omit<HeldReservation, 'wasIdle'>, now: Millis): ReservationId {
     const { use } = this.knowledge;
     const { pair, promptTokens, memoryTokens } = work;
     const prefillAt = pair.prefill ?? pair.decode;
     const wasIdle = use.getTotal(prefillAt, now).prefillTokens === 0;
-    this.begun += 1;
-    const reservation = `${this.prefix}.p${this.begun}`;
+    this.startedCount += 1;
+    const reservation = `${this.prefix}.p${this.startedCount}`;
     use.change(prefillAt, { prefillTokens: promptTokens });
     use.change(pair.decode, { streams: 1, memoryTokens });
     const { slowStart } = this.knowledge;
     new Set([prefillAt, pair.decode]).forEach((engine) => slowStart.used(engine, now));
     this.prefilling.add(reservation);
-    this.held.set(reservation, { ...work, wasIdle });
+    this.reservations.set(reservation, { ...work, wasIdle });
     return reservation;
   }
 
-  /** Notes that a prompt is read, or is not going to be; without a time it was not read. */
+  /**
+   * Frees the prefill engine of a reservation.
+   *
+   * @param reservation - The reservation.
+   * @param tookMs - Milliseconds that the prefill took; undefined where it failed or was not timed.
+   */
   endPrefill(reservation: ReservationId, tookMs?: Millis): void {
-    const held = this.held.get(reservation);
-    if (held === undefined) return;
-    const { pair, promptTokens, wasIdle } = held;
+    const reserved = this.reservations.get(reservation);
+    if (reserved === undefined) return;
+    const { pair, promptTokens, wasIdle } = reserved;
     if (tookMs !== undefined && pair.prefill !== undefined) {
       const { health } = this.knowledge;
       if (wasIdle) health.prefillTook(pair.prefill, promptTokens, tookMs);
@@ -75,26 +80,26 @@
     this.knowledge.use.change(pair.prefill ?? pair.decode, { prefillTokens: -promptTokens });
   }
 
-  /** Moves a request's room from its decode engine to another one. */
+  /** Moves the stream and memory of a reservation to another decode engine. */
   moveDecode(reservation: ReservationId, decode: UpstreamId, now: Millis): void {
-    const held = this.held.get(reservation);
-    if (held === undefined) return;
-    const { pair, memoryTokens } = held;
+    const reserved = this.reservations.get(reservation);
+    if (reserved === undefined) return;
+    const { pair, memoryTokens } = reserved;
     this.knowledge.use.change(pair.decode, { streams: -1, memoryTokens: -memoryTokens });
     this.knowledge.use.change(decode, { streams: 1, memoryTokens });
     this.knowledge.slowStart.used(decode, now);
-    this.held.set(reservation, { ...held, pair: { ...pair, decode } });
+    this.reservations.set(reservation, { ...reserved, pair: { ...pair, decode } });
   }
 
-  /** Gives back all that a request holds; gets what that was, or undefined if it had ended. */
+  /** Releases a reservation and returns it; undefined where it has been released before. */
   release(reservation: ReservationId, end: ReservationEnd): HeldReservation | undefined {
-    const held = this.held.get(reservation);
-    if (held === undefined) return undefined;
+    const reserved = this.reservations.get(reservation);
+    if (reserved === undefined) return undefined;
     this.endPrefill(reservation);
-    this.held.delete(reservation);
-    const { pair, memoryTokens } = held;
+    this.reservations.delete(reservation);
+    const { pair, memoryTokens } = reserved;
     this.knowledge.use.change(pair.decode, { streams: -1, memoryTokens: -memoryTokens });
     if (end === 'done') this.knowledge.health.succeeded(pair.decode);
-    return held;
+    return reserved;
   }
 }
--- a/packages/router/src/placing/LocalPlacer.ts
+++ b/packages/router/src/placing/LocalPlacer.ts
@@ -39,10 +39,10 @@
 
 type PlaceDecision = Extract<QueueDecision, { readonly type: 'place' }>;
 
-/** Priority given to engines where the operators gave none: the middle of the scale. */
+/** Priority passed to engines for requests without one: the middle of the scale. */
 const DEFAULT_PRIORITY = 5;
 
-/** Places requests on this host's own knowledge of the engines, with what peers say of their use. */
+/** Places requests without a coordinator, by this host's observations and the load that peers report. */
 export class LocalPlacer implements ChangingPlacer {
   private readonly clock: Clock;
 
@@ -52,26 +52,26 @@
 
   private readonly pools = new Map<ModelId, LocalPool>();
 
-  private readonly held: HeldWork;
+  private readonly reservations: HeldWork;
 
-  /** Next scheduling pass of a pool whose requests wait. */
-  private readonly rechecks = new Map<LocalPool, CancelTimer>();
+  /** Timers of the next scheduling pass of pools with waiting requests. */
+  private readonly recheckTimers = new Map<LocalPool, CancelTimer>();
 
   private readonly random: RandomSource;
 
-  /** Finds out which engines are up. */
+  /** Probes of engines that may be down. */
   readonly probes: EngineProbes;
 
-  private readonly onNews: () => void;
+  private readonly onChange: () => void;
 
-  /** @param options - What it is made of. */
+  /** @param options - Dependencies. */
   constructor({ clock, random, directory, knowledge, incarnation, onNews }: LocalPlacerOptions) {
     this.random = random;
     this.clock = clock;
     this.directory = directory;
     this.knowledge = knowledge;
-    this.onNews = onNews;
-    this.held = new HeldWork(knowledge, incarnation);
+    this.onChange = onNews;
+    this.reservations = new HeldWork(knowledge, incarnation);
     const { health, slowStart } = knowledge;
     this.probes = new EngineProbes({
       ...{ clock, directory, health, slowStart },
@@ -84,18 +84,22 @@
     const pool = this.poolFor(model);
     if (item.avoid.length === 0) this.knowledge.demand.asked(model, item, this.clock.now());
     return new Promise((resolve) => {
-      const gone = (): void => {
+      const onAbort = (): void => {
         pool.queue.withdraw(item.request);
-        this.answer(pool, item.request, err(notRun('caller_gone', 'The caller has gone.')));
+        this.resolveRequest(
+          pool,
+          item.request,
+          err(notRun('caller_gone', 'The caller closed its connection.')),
+        );
       };
       const answer = (result: ReserveAnswer): void => {
-        signal.removeEventListener('abort', gone);
+        signal.removeEventListener('abort', onAbort);
         resolve(result);
       };
       pool.waiting.set(item.request, { item, answer, since: this.clock.now() });
-      signal.addEventListener('abort', gone, { once: true });
+      signal.addEventListener('abort', onAbort, { once: true });
       if (signal.aborted) {
-        gone();
+        onAbort();
         return;
       }
       const refusal = pool.queue.submit({
@@ -112,43 +116,43 @@
         longestPauseMs: item.longestPauseMs,
       });
       if (refusal === undefined) this.schedule(pool);
-      else this.answer(pool, item.request, err(refusal));
+      else this.resolveRequest(pool, item.request, err(refusal));
     });
   }
 
   /** {@inheritDoc Placer.prefillEnded} */
   prefillEnded(model: ModelId, reservation: ReservationId, tookMs?: Millis): void {
-    this.held.endPrefill(reservation, tookMs);
-    this.onNews();
+    this.reservations.endPrefill(reservation, tookMs);
+    this.onChange();
     this.scheduleModel(model);
   }
 
   /** {@inheritDoc Placer.moveDecode} */
   moveDecode(reservation: ReservationId, avoid: readonly UpstreamId[]): UpstreamId | undefined {
-    const held = this.held.get(reservation);
-    const pool = held === undefined ? undefined : this.pools.get(held.model);
-    if (held === undefined || pool === undefined) return undefined;
-    const { pair, memoryTokens, promptTokens, longestPauseMs } = held;
-    const wish = { promptTokens, memoryTokens, avoid, longestPauseMs };
-    const decode = pool.placement.chooseDecode(wish, pair.prefill, this.clock.now());
+    const reserved = this.reservations.get(reservation);
+    const pool = reserved === undefined ? undefined : this.pools.get(reserved.model);
+    if (reserved === undefined || pool === undefined) return undefined;
+    const { pair, memoryTokens, promptTokens, longestPauseMs } = reserved;
+    const request = { promptTokens, memoryTokens, avoid, longestPauseMs };
+    const decode = pool.placement.chooseDecode(request, pair.prefill, this.clock.now());
     if (decode === undefined) return undefined;
-    this.held.moveDecode(reservation, decode, this.clock.now());
+    this.reservations.moveDecode(reservation, decode, this.clock.now());
     log('decode_moved', { reservation, from: pair.decode, to: decode });
     return decode;
   }
 
-  /** Reservations of a host that places on its own can't be lost to another one. */
+  /** Does nothing: without a coordinator, no other host can take a reservation away. */
   async renew(): Promise<readonly ReservationId[]> {
     return [];
   }
 
   /** {@inheritDoc Placer.release} */
   async release(_model: ModelId, reservation: ReservationId, end: ReservationEnd): Promise<void> {
-    const held = this.held.release(reservation, end);
-    if (held === undefined) return;
-    this.onNews();
-    this.pools.get(held.model)?.queue.ended(held.team);
-    this.scheduleModel(held.model);
+    const reserved = this.reservations.release(reservation, end);
+    if (reserved === undefined) return;
+    this.onChange();
+    this.pools.get(reserved.model)?.queue.ended(reserved.team);
+    this.scheduleModel(reserved.model);
   }
 
   /** {@inheritDoc Placer.attemptFailed} */
@@ -174,10 +178,10 @@
 
   /** {@inheritDoc Placer.observe} */
   async observe(_model: ModelId, observations: readonly EngineObservation[]): Promise<void> {
-    observations.forEach((seen) => this.take(seen));
+    observations.forEach((observation) => this.applyObservation(observation));
   }
 
-  /** Counts the requests of a pool that wait on this host and can still be on time. */
+  /** Counts this host's waiting requests for a model that can still be on time. */
   countOnTime(model: ModelId): number {
     return this.pools.get(model)?.queue.countOnTime(this.clock.now()) ?? 0;
   }
@@ -188,50 +192,50 @@
     this.knowledge.moves.settle(engines, this.clock.now());
     this.knowledge.health.keepOnly(new Set(this.directory.getEngineIds()));
     this.pools.forEach((pool, model) => {
-      this.reshape(pool, model);
+      this.updateEngines(pool, model);
       this.schedule(pool);
     });
   }
 
-  /** Ends what runs by itself; requests that wait are left to their callers. */
+  /** Stops probes and timers; waiting requests end when their callers abort them. */
   stop(): void {
     this.probes.stop();
-    this.rechecks.forEach((cancel) => cancel());
+    this.recheckTimers.forEach((cancel) => cancel());
   }
 
-  /** Gets the state to be shown to operators. */
+  /** Gets the state shown to operators. */
   dump(): object {
     const waiting = [...this.pools].map(([model, pool]) => [model, pool.queue.size] as const);
     return {
-      placed: this.held.count,
-      held: this.held.size,
+      placed: this.reservations.count,
+      held: this.reservations.size,
       waiting: Object.fromEntries(waiting),
       use: Object.fromEntries(this.knowledge.use.getOwn()),
     };
   }
 
-  private take(seen: EngineObservation): void {
+  private applyObservation(observation: EngineObservation): void {
     const now = this.clock.now();
-    switch (seen.type) {
+    switch (observation.type) {
       case 'failed':
-        this.knowledge.health.failed(seen.engine, now);
+        this.knowledge.health.failed(observation.engine, now);
         break;
       case 'recovered':
-        this.knowledge.health.succeeded(seen.engine);
+        this.knowledge.health.succeeded(observation.engine);
         break;
       case 'token_interval':
-        this.takeInterval(seen.engine, seen.meanMs);
+        this.recordTokenInterval(observation.engine, observation.meanMs);
         break;
       case 'load':
       case 'prefill_done':
       case 'cache':
         break;
       default:
-        seen satisfies never;
+        observation satisfies never;
     }
   }
 
-  private takeInterval(id: UpstreamId, meanMs: Millis): void {
+  private recordTokenInterval(id: UpstreamId, meanMs: Millis): void {
     const tokens = this.directory.getEngine(id)?.cfg.eventTokens ?? 1;
     this.knowledge.health.tokensTook(id, meanMs / tokens);
   }
@@ -247,11 +251,11 @@
       waiting: new Map(),
     };
     this.pools.set(model, pool);
-    this.reshape(pool, model);
+    this.updateEngines(pool, model);
     return pool;
   }
 
-  private reshape(pool: LocalPool, model: ModelId): void {
+  private updateEngines(pool: LocalPool, model: ModelId): void {
     pool.placement.reshape(this.enginesOf(model));
   }
 
@@ -265,32 +269,32 @@
   }
 
   private scheduleAll(): void {
-    this.onNews();
+    this.onChange();
     this.pools.forEach((pool) => this.schedule(pool));
   }
 
   private schedule(pool: LocalPool): void {
-    this.rechecks.get(pool)?.();
-    this.rechecks.delete(pool);
+    this.recheckTimers.get(pool)?.();
+    this.recheckTimers.delete(pool);
     let decision = pool.queue.next(this.clock.now());
     while (decision !== undefined) {
-      this.carryOut(pool, decision);
+      this.applyDecision(pool, decision);
       decision = pool.queue.next(this.clock.now());
     }
     if (pool.queue.size === 0) return;
-    this.rechecks.set(
+    this.recheckTimers.set(
       pool,
       this.clock.after(QUEUE_RECHECK_MS, () => this.schedule(pool)),
     );
   }
 
-  private carryOut(pool: LocalPool, decision: QueueDecision): void {
+  private applyDecision(pool: LocalPool, decision: QueueDecision): void {
     switch (decision.type) {
       case 'place':
         this.place(pool, decision);
         break;
       case 'refuse':
-        this.answer(pool, decision.request, err(decision.refusal));
+        this.resolveRequest(pool, decision.request, err(decision.refusal));
         break;
       default:
         decision satisfies never;
@@ -304,9 +308,9 @@
     const { model } = pool;
     const memoryTokens = meanMemory(item);
     const { team, promptTokens, longestPauseMs } = item;
-    const work = { model, team, pair, promptTokens, longestPauseMs, memoryTokens };
-    const reservation = this.held.begin(work, this.clock.now());
-    this.onNews();
+    const reserved = { model, team, pair, promptTokens, longestPauseMs, memoryTokens };
+    const reservation = this.reservations.begin(reserved, this.clock.now());
+    this.onChange();
     const placed: PlacedPair = {
       reservation,
       prefill: pair.prefill,
@@ -324,12 +328,12 @@
       waitedMs: Math.round(this.clock.now() - waiting.since),
       lacked,
     });
-    this.answer(pool, request, ok(placed));
+    this.resolveRequest(pool, request, ok(placed));
   }
 
-  private answer(pool: LocalPool, request: RequestId, answer: ReserveAnswer): void {
+  private resolveRequest(pool: LocalPool, request: RequestId, result: ReserveAnswer): void {
     const waiting = pool.waiting.get(request);
     pool.waiting.delete(request);
-    waiting?.answer(answer);
+    waiting?.answer(result);
   }
 }
--- a/packages/router/src/placing/PlacementClient.ts
+++ b/packages/router/src/placing/PlacementClient.ts
@@ -25,25 +25,25 @@
 import { poolKey } from './StewardDesk.ts';
 import { WAITING_ANSWER_MS } from './waitingAnswer.ts';
 
-/** Milliseconds on top of the time in which a steward says that a request waits. */
+/** Milliseconds allowed for the round trip on top of the coordinator's long-poll period. */
 const ASK_MARGIN_MS: Millis = 400;
 
-/** Milliseconds between two tries while no steward answers. */
+/** Milliseconds between two attempts while no coordinator answers. */
 const RETRY_MS: Millis = 100;
 
 /**
- * Milliseconds for which a steward that did not answer is passed over by urgent work. Without it
- * each lookup would first wait for the same silent host.
+ * Milliseconds for which urgent requests bypass a coordinator that did not answer. Otherwise each lookup
+ * would first wait for a timeout of the same host.
  */
-const SILENT_LIFE_MS: Millis = 1_000;
+const SILENCE_TTL_MS: Millis = 1_000;
 
-/** Milliseconds to wait for short exchanges, such as a release. */
+/** Timeout of requests that are answered at once, such as a release, in milliseconds. */
 const SHORT_TIMEOUT_MS: Millis = 1_000;
 
-/** Times a release is sent before the reservation is left to run out. */
-const RELEASE_TRIES = 3;
+/** Attempts to send a release before the reservation is left to expire. */
+const RELEASE_ATTEMPTS = 3;
 
-/** What a placement client is made of. */
+/** Dependencies of {@link PlacementClient}. */
 export interface PlacementClientOptions {
   readonly self: HostId;
   readonly clock: Clock;
@@ -53,25 +53,25 @@
   readonly fallback: FallbackPlacer;
 }
 
-/** Asks the steward of a pool, on whichever host it is. */
+/** Places requests through the coordinator of their pool, on this host or on a peer. */
 export class PlacementClient implements ChangingPlacer {
   private readonly options: PlacementClientOptions;
 
-  /** When a host last left a question without an answer. */
-  private readonly silentSince = new Map<HostId, Millis>();
+  /** Time of the last failed request to each host that has not answered since. */
+  private readonly unansweredAt = new Map<HostId, Millis>();
 
-  /** @param options - What the client is made of. */
+  /** @param options - Dependencies. */
   constructor(options: PlacementClientOptions) {
     this.options = options;
   }
 
   /**
-   * Asks for a place until there is one, a refusal, or the time is up.
+   * Requests engines until the request is placed, refused or out of time.
    *
    * @param model - The pool's model.
-   * @param item - The request; its `maxWaitMs` bounds the time.
-   * @param signal - Aborted when the caller has gone.
-   * @returns The place, or a refusal that says truthfully that nothing ran.
+   * @param item - The request; `maxWaitMs` limits the time.
+   * @param signal - Aborted when the caller disconnects.
+   * @returns The placement, or a refusal that guarantees that nothing was executed.
    */
   async reserve(
     model: ModelId,
@@ -79,32 +79,32 @@
     signal: AbortSignal,
   ): Promise<Result<PlacedPair, Refusal>> {
     const { clock } = this.options;
-    const until = clock.now() + item.maxWaitMs;
+    const deadline = clock.now() + item.maxWaitMs;
     while (!signal.aborted) {
-      const left = Math.max(0, until - clock.now());
-      const res = await this.reserveOnce(model, { ...item, maxWaitMs: left });
+      const leftMs = Math.max(0, deadline - clock.now());
+      const res = await this.reserveOnce(model, { ...item, maxWaitMs: leftMs });
       if (res?.type === 'placed') return this.accept(model, res.placement, signal);
       if (res?.type === 'refused') return err(res.refusal);
-      if (clock.now() >= until) return this.giveUp(model, item.request);
+      if (clock.now() >= deadline) return this.refuseAtDeadline(model, item.request);
       if (res?.type !== 'waiting') await sleep(clock, RETRY_MS, signal);
     }
     this.withdraw(model, item.request);
     return err(callerGone());
   }
 
-  /** Tells the steward that a prefill is over; lost messages only delay the next prefill. */
+  /** Tells the coordinator that a prefill has ended; a lost message only delays the next prefill. */
   prefillEnded(model: ModelId, reservation: string): void {
     this.options.fallback.prefillEnded(model, reservation);
-    this.tell({ type: 'prefill_ended', model, reservation });
+    this.notify({ type: 'prefill_ended', model, reservation });
   }
 
   /**
-   * Extends reservations, with the steward and with this host's own fallback.
+   * Renews reservations with the coordinator and with this host's fallback.
    *
    * @param model - The pool's model.
-   * @param held - What this host's requests use.
-   * @param timeoutMs - Milliseconds to wait.
-   * @returns The reservations that are lost; none while no steward answers.
+   * @param held - Reservations that this host's requests use.
+   * @param timeoutMs - Timeout in milliseconds.
+   * @returns The reservations that are lost; none while no coordinator answers.
    */
   async renew(
     model: ModelId,
@@ -116,60 +116,60 @@
     return res?.type === 'renewed' ? res.lost : [];
   }
 
-  /** Ends a reservation; tried a few times, since memory is held until it is known. */
+  /** Ends a reservation; retried, since its memory stays reserved until the coordinator knows of it. */
   async release(model: ModelId, reservation: string, end: ReservationEnd): Promise<void> {
     this.options.fallback.release(model, reservation, end);
-    let tries = 0;
-    while (tries < RELEASE_TRIES) {
+    let attempts = 0;
+    while (attempts < RELEASE_ATTEMPTS) {
       const res = await this.ask({ type: 'release', model, reservation, end }, SHORT_TIMEOUT_MS);
       if (res?.type === 'ok') return;
-      tries += 1;
+      attempts += 1;
       await sleep(this.options.clock, RETRY_MS);
     }
   }
 
-  /** Takes up or gives up coordinating pools, as the group and the configuration now say. */
+  /** Starts and stops coordinating pools according to the current group and configuration. */
   refresh(): void {
     this.options.desk.refresh();
   }
 
-  /** A steward gives both engines at once; a new pair is a new reservation. */
+  /** Not supported: a coordinator assigns both engines together; a new pair is a new reservation. */
   moveDecode(): undefined {
     return undefined;
   }
 
-  /** The steward learns of failures by observations and by how reservations end. */
+  /** Does nothing: the coordinator learns of failures from observations and the ends of reservations. */
   attemptFailed(): void {}
 
-  /** Tells the steward what this host saw; lost observations are made up by later ones. */
+  /** Sends observations to the coordinator; lost ones are made up for by later ones. */
   async observe(model: ModelId, observations: readonly EngineObservation[]): Promise<void> {
     await this.ask({ type: 'observe', model, observations }, SHORT_TIMEOUT_MS);
   }
 
   /**
-   * Asks the steward of a pool once.
+   * Sends one request to the coordinator of a pool.
    *
-   * @param req - What is asked.
-   * @param timeoutMs - Milliseconds to wait.
-   * @returns The answer, or undefined where none came or nobody coordinates the pool now.
+   * @param req - The request.
+   * @param timeoutMs - Timeout in milliseconds.
+   * @returns The response; undefined where none came or the pool has no known coordinator.
    */
   async ask(req: PlacingRequest, timeoutMs: Millis): Promise<PeerResponse | undefined> {
     const { group, desk, link, self, clock } = this.options;
-    const steward = group.stewardOf(poolKey(req.model));
-    if (steward === undefined) return undefined;
-    if (steward.host === self) return desk.answer(req);
-    const res = await link.ask(steward, req satisfies PeerRequest, timeoutMs);
+    const coordinator = group.stewardOf(poolKey(req.model));
+    if (coordinator === undefined) return undefined;
+    if (coordinator.host === self) return desk.answer(req);
+    const res = await link.ask(coordinator, req satisfies PeerRequest, timeoutMs);
     if (res.isErr()) {
-      this.silentSince.set(steward.host, clock.now());
+      this.unansweredAt.set(coordinator.host, clock.now());
       return undefined;
     }
-    this.silentSince.delete(steward.host);
+    this.unansweredAt.delete(coordinator.host);
     return res.value;
   }
 
-  /** Asks the steward, or where work is urgent and no steward answers, this host's own part. */
+  /** Asks the coordinator or, for urgent requests while none answers, this host's fallback. */
   private async reserveOnce(model: ModelId, item: WorkItem): Promise<PeerResponse | undefined> {
-    if (isUrgent(item.class) && this.isStewardSilent(model)) {
+    if (isUrgent(item.class) && this.isCoordinatorSilent(model)) {
       const placed = await this.options.fallback.reserve(model, item);
       if (placed?.type === 'placed') return placed;
       this.options.fallback.withdraw(model, item.request);
@@ -181,11 +181,11 @@
     return this.options.fallback.reserve(model, item);
   }
 
-  private isStewardSilent(model: ModelId): boolean {
-    const steward = this.options.group.stewardOf(poolKey(model));
-    if (steward === undefined) return true;
-    const since = this.silentSince.get(steward.host);
-    return since !== undefined && this.options.clock.now() - since < SILENT_LIFE_MS;
+  private isCoordinatorSilent(model: ModelId): boolean {
+    const coordinator = this.options.group.stewardOf(poolKey(model));
+    if (coordinator === undefined) return true;
+    const failedAt = this.unansweredAt.get(coordinator.host);
+    return failedAt !== undefined && this.options.clock.now() - failedAt < SILENCE_TTL_MS;
   }
 
   private accept(
@@ -198,22 +198,24 @@
     return err(callerGone());
   }
 
-  private giveUp(model: ModelId, request: RequestId): Result<Placement, Refusal> {
+  private refuseAtDeadline(model: ModelId, request: RequestId): Result<Placement, Refusal> {
     this.withdraw(model, request);
-    return err(notRun('no_capacity', 'No host coordinates this model at present.', 1_000));
+    return err(
+      notRun('no_capacity', 'No host currently coordinates the pool of this model.', 1_000),
+    );
   }
 
   private withdraw(model: ModelId, request: RequestId): void {
     this.options.fallback.withdraw(model, request);
-    this.tell({ type: 'withdraw', model, request });
+    this.notify({ type: 'withdraw', model, request });
   }
 
-  private tell(req: PlacingRequest): void {
+  private notify(req: PlacingRequest): void {
     void this.ask(req, SHORT_TIMEOUT_MS);
   }
 }
 
-/** Summaries can wait for the next steward, which places better than each host on its own. */
+/** Summaries can wait for the next coordinator, which places better than each host on its own. */
 function isUrgent(cls: WorkClass): boolean {
   return cls !== 'summary';
 }
--- a/packages/router/src/placing/Placer.ts
+++ b/packages/router/src/placing/Placer.ts
@@ -8,26 +8,26 @@
 import type { UpstreamError } from '@camphorvane/upstream';
 import type { Result } from 'neverthrow';
 
-/** Engines that a request may use until its reservation ends. */
+/** Engines reserved for a request. */
 export interface PlacedPair {
   readonly reservation: ReservationId;
-  /** Undefined where the decode engine is to run the prompt itself. */
+  /** Undefined where the decode engine runs the prefill itself. */
   readonly prefill?: UpstreamId;
   readonly decode: UpstreamId;
   readonly pieces: number;
-  /** Priority given to engines; lower goes first. */
+  /** Priority passed to the engines; lower runs first. */
   readonly priority: number;
 }
 
-/** Finds engines for requests: through the coordinator of a pool, or on this host's own. */
+/** Reserves engines for requests, either through the coordinator of a pool or by this host alone. */
 export interface Placer {
   /**
-   * Waits for engines until there are some, a refusal, or the item's time is up.
+   * Requests engines until the request is placed, refused or out of time.
    *
    * @param model - The pool's model.
-   * @param item - The request.
-   * @param signal - Aborted when the caller has gone.
-   * @returns The engines, or a refusal that says truthfully that nothing ran.
+   * @param item - The request; `maxWaitMs` limits the time.
+   * @param signal - Aborted when the caller disconnects.
+   * @returns The placement, or a refusal that guarantees that nothing was executed.
    */
   reserve(
     model: ModelId,
@@ -36,25 +36,32 @@
   ): Promise<Result<PlacedPair, Refusal>>;
 
   /**
-   * Gets another decode engine for a prompt that is read already, because the one that was chosen did
-   * not take the request.
+   * Moves a reservation whose prefill is complete to another decode engine, after the reserved one did
+   * not accept the request.
    *
-   * @param reservation - The reservation, which holds for the new engine from now on.
-   * @param avoid - Engines that did not take it.
-   * @returns The engine; undefined where there is none now, or the placer can't move a reservation.
+   * @param reservation - The reservation.
+   * @param avoid - Engines that did not accept the request.
+   * @returns The new engine; undefined where none has room, or the placer can't move reservations.
    */
   moveDecode(reservation: ReservationId, avoid: readonly UpstreamId[]): UpstreamId | undefined;
 
   /**
-   * Notes that a prefill is over.
+   * Frees the prefill engine of a reservation.
    *
    * @param model - The pool's model.
    * @param reservation - The reservation.
-   * @param tookMs - Milliseconds that the engine took to read the prompt; undefined where it did not.
+   * @param tookMs - Milliseconds that the prefill took; undefined where it failed or was not timed.
    */
   prefillEnded(model: ModelId, reservation: ReservationId, tookMs?: Millis): void;
 
-  /** Extends reservations; gets those that are lost. */
+  /**
+   * Renews reservations.
+   *
+   * @param model - The pool's model.
+   * @param held - Reservations that this host's requests use.
+   * @param timeoutMs - Timeout in milliseconds.
+   * @returns The reservations that are lost.
+   */
   renew(
     model: ModelId,
     held: readonly AdoptedReservation[],
@@ -64,9 +71,9 @@
   /** Ends a reservation. */
   release(model: ModelId, reservation: ReservationId, end: ReservationEnd): Promise<void>;
 
-  /** Notes at once that an attempt failed on an engine. */
+  /** Reports a failed attempt, so that the engine is avoided at once. */
   attemptFailed(engine: UpstreamId, error: UpstreamError): void;
 
-  /** Takes in what this host saw of the engines. */
+  /** Reports this host's observations of the engines. */
   observe(model: ModelId, observations: readonly EngineObservation[]): Promise<void>;
 }
--- a/packages/router/src/placing/PoolSteward.ts
+++ b/packages/router/src/placing/PoolSteward.ts
@@ -21,67 +21,66 @@
 import { WAITING_ANSWER_MS } from './waitingAnswer.ts';
 
 /**
- * Milliseconds after which a waiting request whose holder has not asked again is dropped: the
- * holder has died, and a place given to it would hold engine memory for nobody.
+ * Milliseconds after which a waiting request is dropped unless its holder polls again: the holder has
+ * crashed, and engines reserved for it would be left unused.
  */
-const HOLDER_SILENCE_MS: Millis = 5_000;
+const HOLDER_TIMEOUT_MS: Millis = 5_000;
 
 /**
- * Milliseconds for which a new steward only listens. Holders renew each second, so within this time
- * every reservation made by an earlier steward has been shown and none is given away twice.
+ * Milliseconds for which a new coordinator only collects reservations. Holders renew every second, so
+ * within this time it learns of all reservations made by its predecessor and assigns no memory twice.
  */
 const REBUILD_MS: Millis = 1_500;
 
-/** Milliseconds between two load reports read from an engine. */
-const LOAD_PERIOD_MS: Millis = 500;
+/** Milliseconds between two polls of an engine's load report. */
+const LOAD_POLL_PERIOD_MS: Millis = 500;
 
-/** Load reports that must fail in a row before an engine counts as down. */
+/** Consecutive failed polls after which an engine counts as down. */
 const FAILURES_UNTIL_DOWN = 2;
 
-type Answer = (res: PeerResponse) => void;
+type Responder = (res: PeerResponse) => void;
 
-interface Waiting {
-  readonly answers: Answer[];
+interface PendingRequest {
+  readonly responders: Responder[];
   cancelTimer: CancelTimer;
 }
 
-/** What a pool steward is made of. */
+/** Dependencies of {@link PoolCoordinator}. */
 export interface PoolStewardOptions {
   readonly model: ModelId;
   readonly pool: PoolConfig;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly directory: UpstreamDirectory;
-  /** Put before each reservation's id; differs between stewards and between their starts. */
+  /** Prefix of reservation ids; unique to each coordinator and each of its starts. */
   readonly prefix: string;
-  /** Milliseconds for which it only listens at its start; {@link REBUILD_MS} unless given. */
+  /** Milliseconds for which it only collects reservations at its start; by default {@link REBUILD_MS}. */
   readonly listenMs?: Millis;
-  /** Asked before anything is decided. */
+  /** Tells whether this host may still coordinate the pool; checked before each decision. */
   readonly mayAct: () => boolean;
 }
 
 /**
  * Runs the scheduler of one pool on the host that coordinates it.
  *
- * All decisions are the scheduler's; this class feeds it with what happens and carries out what it
- * decides.
+ * The scheduler makes all decisions; this class passes events to it and applies its decisions.
  */
 export class PoolSteward {
   private readonly options: PoolStewardOptions;
 
   private readonly scheduler: FairPoolScheduler;
 
-  private readonly waiting = new Map<RequestId, Waiting>();
+  private readonly waiting = new Map<RequestId, PendingRequest>();
 
   private readonly stopped = new AbortController();
 
-  private readonly listenUntil: Millis;
+  private readonly rebuildUntil: Millis;
 
   private pool: PoolConfig;
 
   private cancelWake: CancelTimer = () => undefined;
 
-  /** @param options - What the steward is made of. */
+  /** @param options - Dependencies. */
   constructor(options: PoolStewardOptions) {
     this.options = options;
     this.pool = options.pool;
@@ -89,78 +88,81 @@
       random: options.random,
       reservationPrefix: options.prefix,
     });
-    const listenMs = options.listenMs ?? REBUILD_MS;
-    this.listenUntil = options.clock.now() + listenMs;
-    options.clock.after(listenMs, () => this.pump());
+    const rebuildMs = options.listenMs ?? REBUILD_MS;
+    this.rebuildUntil = options.clock.now() + rebuildMs;
+    options.clock.after(rebuildMs, () => this.runScheduler());
     options.pool.engines.forEach((engine) => {
       void this.pollLoad(engine.id);
     });
   }
 
   /**
-   * Asks for a place; the same request may ask again while it waits.
+   * Queues a request, or polls one that is queued already.
    *
    * @param item - The request.
-   * @returns A place, a refusal, or that it still waits.
+   * @returns A placement, a refusal, or that the request still waits.
    */
   reserve(item: WorkItem): Promise<PeerResponse> {
-    // A steward that only listens would let lookups wait past their target; their host places them.
-    const mustNotWait = this.now() < this.listenUntil && item.class !== 'summary';
+    // Lookups would miss their target if they waited for the rebuild; their host uses its fallback.
+    const mustNotWait = this.now() < this.rebuildUntil && item.class !== 'summary';
     if (mustNotWait) return Promise.resolve({ type: 'not_steward', epoch: 0 });
     return new Promise((resolve) => {
-      const entry = this.waiting.get(item.request) ?? { answers: [], cancelTimer: () => undefined };
-      entry.answers.push(resolve);
+      const entry = this.waiting.get(item.request) ?? {
+        responders: [],
+        cancelTimer: () => undefined,
+      };
+      entry.responders.push(resolve);
       entry.cancelTimer();
       entry.cancelTimer = this.options.clock.after(WAITING_ANSWER_MS[item.class], () =>
-        this.tellWaiting(item.request),
+        this.respondWaiting(item.request),
       );
       this.waiting.set(item.request, entry);
       this.scheduler.submit(item, this.now());
-      this.pump();
+      this.runScheduler();
     });
   }
 
-  /** Takes a request out of the queue because its caller has gone. */
+  /** Removes a request from the queue because its caller has disconnected. */
   withdraw(request: RequestId): void {
     this.scheduler.withdraw(request, this.now());
-    this.answer(request, { type: 'ok' });
-    this.pump();
+    this.respond(request, { type: 'ok' });
+    this.runScheduler();
   }
 
   /**
-   * Extends reservations, and takes over those of an earlier steward.
+   * Renews reservations, and adopts those of an earlier coordinator during the rebuild.
    *
-   * @param held - What the holder still uses.
-   * @returns The reservations that the holder must give up.
+   * @param held - Reservations that the holder still uses.
+   * @returns The reservations that are lost; their requests must stop.
    */
   renew(held: readonly AdoptedReservation[]): readonly string[] {
     const now = this.now();
     const lost = held.filter((one) => !this.scheduler.renew(one.reservation, now));
-    const listening = now <= this.listenUntil;
-    if (!listening) return lost.map((one) => one.reservation);
+    const isRebuilding = now <= this.rebuildUntil;
+    if (!isRebuilding) return lost.map((one) => one.reservation);
     lost.forEach((one) => this.scheduler.adopt(one, now));
     return [];
   }
 
-  /** Marks that the prefill of a reservation is over. */
+  /** Frees the prefill engine of a reservation. */
   prefillEnded(reservation: string): void {
     this.scheduler.prefillEnded(reservation, this.now());
-    this.pump();
+    this.runScheduler();
   }
 
   /** Ends a reservation. */
   release(reservation: string, end: ReservationEnd): void {
     this.scheduler.release(reservation, end, this.now());
-    this.pump();
+    this.runScheduler();
   }
 
-  /** Takes in what hosts saw of engines. */
+  /** Passes observations of engines to the scheduler. */
   observe(observations: readonly EngineObservation[]): void {
-    observations.forEach((one) => this.scheduler.observe(one, this.now()));
-    this.pump();
+    observations.forEach((observation) => this.scheduler.observe(observation, this.now()));
+    this.runScheduler();
   }
 
-  /** Takes a changed pool into force. */
+  /** Applies a changed pool configuration. */
   reshape(pool: PoolConfig): void {
     if (pool === this.pool) return;
     const known = new Set(this.pool.engines.map((engine) => engine.id));
@@ -171,34 +173,34 @@
         void this.pollLoad(engine.id);
       });
     this.scheduler.reshape(pool, this.now());
-    this.pump();
+    this.runScheduler();
   }
 
-  /** Tells whether nothing waits and nothing is reserved. */
+  /** Tells whether there are neither waiting requests nor reservations. */
   isIdle(): boolean {
     return this.waiting.size === 0 && this.scheduler.reservationCount === 0;
   }
 
-  /** Gets the state to be shown to operators. */
+  /** Gets the state shown to operators. */
   dump(): object {
     return {
       model: this.options.model,
       waiting: this.waiting.size,
       reservations: this.scheduler.reservationCount,
-      listening: this.now() <= this.listenUntil,
+      listening: this.now() <= this.rebuildUntil,
     };
   }
 
-  /** Ends coordinating; everything that waits is sent to the next steward. */
+  /** Stops coordinating; waiting requests are told to ask the next coordinator. */
   stop(): void {
     this.stopped.abort();
     this.cancelWake();
     [...this.waiting.keys()].forEach((request) =>
-      this.answer(request, { type: 'not_steward', epoch: 0 }),
+      this.respond(request, { type: 'not_steward', epoch: 0 }),
     );
   }
 
-  private pump(): void {
+  private runScheduler(): void {
     this.cancelWake();
     if (this.stopped.signal.aborted) return;
     if (!this.options.mayAct()) {
@@ -206,17 +208,17 @@
       return;
     }
     const now = this.now();
-    if (now < this.listenUntil) return;
-    this.scheduler.step(now).forEach((decision) => this.carryOut(decision));
+    if (now < this.rebuildUntil) return;
+    this.scheduler.step(now).forEach((decision) => this.applyDecision(decision));
     const wake = this.scheduler.nextWake(now);
     if (wake === undefined) return;
-    this.cancelWake = this.options.clock.after(Math.max(1, wake - now), () => this.pump());
+    this.cancelWake = this.options.clock.after(Math.max(1, wake - now), () => this.runScheduler());
   }
 
-  private carryOut(decision: SchedulerDecision): void {
+  private applyDecision(decision: SchedulerDecision): void {
     switch (decision.type) {
       case 'place':
-        this.answer(decision.request, {
+        this.respond(decision.request, {
           type: 'placed',
           placement: {
             reservation: decision.reservation,
@@ -230,7 +232,7 @@
         });
         break;
       case 'refuse':
-        this.answer(decision.request, { type: 'refused', refusal: decision.refusal });
+        this.respond(decision.request, { type: 'refused', refusal: decision.refusal });
         break;
       case 'reclaim':
         [decision.prefill, decision.decode].forEach((id) => {
@@ -242,22 +244,22 @@
     }
   }
 
-  private answer(request: RequestId, res: PeerResponse): void {
+  private respond(request: RequestId, res: PeerResponse): void {
     const entry = this.waiting.get(request);
     if (entry === undefined) return;
     entry.cancelTimer();
     this.waiting.delete(request);
-    entry.answers.splice(0).forEach((answer) => answer(res));
+    entry.responders.splice(0).forEach((respond) => respond(res));
   }
 
-  private tellWaiting(request: RequestId): void {
+  private respondWaiting(request: RequestId): void {
     const entry = this.waiting.get(request);
     if (entry === undefined) return;
-    entry.answers.splice(0).forEach((answer) => answer({ type: 'waiting' }));
-    entry.cancelTimer = this.options.clock.after(HOLDER_SILENCE_MS, () => this.withdraw(request));
+    entry.responders.splice(0).forEach((respond) => respond({ type: 'waiting' }));
+    entry.cancelTimer = this.options.clock.after(HOLDER_TIMEOUT_MS, () => this.withdraw(request));
   }
 
-  /** Reads one engine's load for as long as this host coordinates the pool. */
+  /** Polls an engine's load while this host coordinates the pool. */
   private async pollLoad(id: string): Promise<void> {
     let failures = 0;
     while (!this.stopped.signal.aborted) {
@@ -274,7 +276,7 @@
           this.observe([{ type: 'failed', engine: id, reason: 'down' }]);
         }
       }
-      await sleep(this.options.clock, LOAD_PERIOD_MS, this.stopped.signal);
+      await sleep(this.options.clock, LOAD_POLL_PERIOD_MS, this.stopped.signal);
     }
   }
 
--- a/packages/router/src/placing/ReservationKeeper.ts
+++ b/packages/router/src/placing/ReservationKeeper.ts
@@ -3,72 +3,72 @@
 import type { AdoptedReservation } from '@camphorvane/decisions';
 import type { Placer } from './Placer.ts';
 
-/** Milliseconds between two renewals; a reservation lives three of them. */
+/** Milliseconds between two renewals; a reservation expires after three periods without one. */
 const RENEW_PERIOD_MS: Millis = 1_000;
 
-/** Milliseconds to wait for the answer to a renewal. */
+/** Timeout of a renewal in milliseconds. */
 const RENEW_TIMEOUT_MS: Millis = 900;
 
-/** A reservation that a request on this host uses. */
+/** A reservation used by a request on this host. */
 export interface KeptReservation {
   readonly model: ModelId;
-  /** Called when the steward no longer knows the reservation: its memory may be given away. */
+  /** Called when the coordinator has lost the reservation and may assign its memory to others. */
   readonly onLost: () => void;
   readonly state: AdoptedReservation;
 }
 
 /**
- * Renews the reservations of a host, one message for each pool.
+ * Renews the reservations of a host with one message per pool.
  *
- * The renewals also show a new steward what its predecessor had given away.
+ * From the renewals a new coordinator also learns of the reservations made by its predecessor.
  */
 export class ReservationKeeper {
   private readonly clock: Clock;
 
   private readonly placer: Placer;
 
-  private readonly kept = new Map<ReservationId, KeptReservation>();
+  private readonly tracked = new Map<ReservationId, KeptReservation>();
 
   /**
    * @param clock - Times the renewals.
-   * @param placer - Takes the renewals.
+   * @param placer - Receives the renewals.
    */
   constructor(clock: Clock, placer: Placer) {
     this.clock = clock;
     this.placer = placer;
   }
 
-  /** Gets how many reservations are kept. */
+  /** Gets the number of reservations being renewed. */
   size(): number {
-    return this.kept.size;
+    return this.tracked.size;
   }
 
-  /** Starts to keep a reservation, or replaces what is known of it. */
+  /** Starts to renew a reservation, or updates its state. */
   keep(reservation: KeptReservation): void {
-    this.kept.set(reservation.state.reservation, reservation);
+    this.tracked.set(reservation.state.reservation, reservation);
   }
 
-  /** Ends keeping a reservation. */
+  /** Stops renewing a reservation. */
   drop(reservation: ReservationId): void {
-    this.kept.delete(reservation);
+    this.tracked.delete(reservation);
   }
 
-  /** Renews until stopped. */
+  /** Renews until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const models = new Set([...this.kept.values()].map((one) => one.model));
+      const models = new Set([...this.tracked.values()].map((reservation) => reservation.model));
       await Promise.all([...models].map((model) => this.renew(model)));
       await sleep(this.clock, RENEW_PERIOD_MS, signal);
     }
   }
 
   private async renew(model: ModelId): Promise<void> {
-    const held = [...this.kept.values()].filter((one) => one.model === model);
-    const states = held.map((one) => one.state);
+    const held = [...this.tracked.values()].filter((reservation) => reservation.model === model);
+    const states = held.map((reservation) => reservation.state);
     const lostIds = await this.placer.renew(model, states, RENEW_TIMEOUT_MS);
     lostIds.forEach((id) => {
-      const lost = this.kept.get(id);
-      this.kept.delete(id);
+      const lost = this.tracked.get(id);
+      this.tracked.delete(id);
       lost?.onLost();
     });
   }
--- a/packages/router/src/placing/RoleControl.ts
+++ b/packages/router/src/placing/RoleControl.ts
@@ -9,146 +9,159 @@
 import { stateLog } from '../observe/StateLog.ts';
 import { roleView } from './roleView.ts';
 
-/** Milliseconds between two decisions about the roles of a pool. */
-const ROUND_MS: Millis = 500;
+/** Milliseconds between two decisions on the engine roles of a pool. */
+const DECISION_PERIOD_MS: Millis = 500;
 
 /**
- * Hosts that decide at all, those first in the order of names. One acts, the next ones act if it does
- * not; further ones would only spend processor time on the forecast.
+ * Hosts that decide on roles: the first ones by name. The first acts, and the others take over if it
+ * does not; more of them would only spend CPU time on forecasts.
  */
 const DECIDING_HOSTS = 3;
 
-/** Milliseconds for which a host holds back for each host that is to act before it. */
-const HOLD_BACK_MS: Millis = 4_000;
+/** Milliseconds by which a host delays its decisions for each host that precedes it. */
+const HOLD_BACK_PER_HOST_MS: Millis = 4_000;
 
 /**
- * Milliseconds between the news of a change and the order: peers hear of it within 60 ms, and a prompt
- * that is on its way then is read within a tenth of a second. An engine refuses what has not begun.
+ * Milliseconds between announcing a role change and ordering it. Peers learn of it within 60 ms, and a
+ * prompt in flight by then is read within another 100 ms; the engine refuses requests not yet started.
  */
-const NOTICE_MS: Millis = 200;
+const ORDER_DELAY_MS: Millis = 200;
 
 /**
- * Milliseconds beyond the change itself after which an engine counts as usable again in any case: its
- * streams end first, and an order that got no answer may be carried out seconds late.
+ * Milliseconds beyond the duration of a role change after which an engine counts as usable again in any
+ * case: it finishes its streams first, and an unanswered order may be executed seconds late.
  */
-const LONGEST_EXTRA_MS: Millis = 14_000;
+const MAX_SWITCH_OVERRUN_MS: Millis = 14_000;
 
-/** Times that an order without an answer is sent. It names what it expects, so it holds once. */
-const ORDER_TRIES = 3;
+/**
+ * Attempts to send an order that gets no answer. An order names the number of earlier orders that it
+ * expects, so that it takes effect at most once.
+ */
+const ORDER_ATTEMPTS = 3;
 
-/** Milliseconds before an order without an answer is sent again. */
+/** Milliseconds before an unanswered order is sent again. */
 const ORDER_RETRY_MS: Millis = 700;
 
 const log = stateLog('roles');
 
-/** What the control of the roles is made of. */
+/** Dependencies of {@link RoleControl}. */
 export interface RoleControlOptions {
   readonly clock: Clock;
   readonly directory: Pick<UpstreamDirectory, 'getModels' | 'getPool' | 'getEngine'>;
   readonly knowledge: EngineKnowledge;
-  /** Only its holder gives orders. */
+  /** Lease without which this host sends no orders. */
   readonly lease: Pick<StoreLease, 'hold' | 'getFence'>;
-  /** Names this host in orders. */
+  /** Name of this host in orders. */
   readonly holder: string;
-  /** Gets how many hosts are to act before this one; undefined while it is to take no part. */
+  /** Gets the number of hosts that precede this one; undefined while it must not decide. */
   readonly rank: () => number | undefined;
-  /** Tells peers at once which engines change. */
+  /** Tells peers at once which engines are changing their role. */
   readonly announce: () => void;
   readonly metrics: Metrics;
 }
 
-type Move = Extract<RoleDecision, { readonly type: 'move' }>;
+type MoveDecision = Extract<RoleDecision, { readonly type: 'move' }>;
 
-/** What became of an order. */
+/** Result of an order. */
 type OrderOutcome = 'taken' | 'refused' | 'unanswered' | 'unreachable' | 'lease_lost' | 'no_report';
 
 /**
- * Moves engines between the roles as the demand asks for it.
+ * Moves engines between the prefill and decode roles according to demand.
  *
- * Every host knows the demand; a few decide, and the one that holds the lease in the store orders.
- * While the store is away nobody can, and the roles stay as they are. An engine is taken out of use
- * everywhere before it is ordered, and comes back when the list of engines shows its new role.
+ * Every host knows the demand; a few hosts decide, and the one that holds the lease in the store sends
+ * the orders. While the store is unavailable no host does, and the roles stay as they are. All hosts stop
+ * using an engine before it gets an order, and use it again once it is listed with its new role.
  */
 export class RoleControl {
   private readonly options: RoleControlOptions;
 
   private readonly shifters = new Map<ModelId, RoleShifter>();
 
-  /** What the log says of each pool, so that a decision is written once. */
-  private readonly logged = new Map<ModelId, string>();
+  /** Last logged decision of each pool; an unchanged decision is not logged again. */
+  private readonly lastLogged = new Map<ModelId, string>();
 
-  /** @param options - What it is made of. */
+  /** @param options - Dependencies. */
   constructor(options: RoleControlOptions) {
     this.options = options;
   }
 
-  /** Decides until stopped. */
+  /** Decides until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, directory } = this.options;
     while (!signal.aborted) {
-      await sleep(clock, ROUND_MS, signal);
+      await sleep(clock, DECISION_PERIOD_MS, signal);
       const models = signal.aborted ? [] : directory.getModels();
       await models.reduce(
-        (before, model) => before.then(() => this.round(model)),
+        (previous, model) => previous.then(() => this.decideRoles(model)),
         Promise.resolve(),
       );
     }
   }
 
-  private async round(model: ModelId): Promise<void> {
+  private async decideRoles(model: ModelId): Promise<void> {
     const { clock, directory, knowledge, rank } = this.options;
     const engines = directory.getPool(model)?.engines ?? [];
     const now = clock.now();
     knowledge.moves.settle(engines, now);
-    this.count(model);
-    const before = rank();
-    if (before === undefined || before >= DECIDING_HOSTS) return;
-    const view = roleView({ model, engines, knowledge, holdBackMs: before * HOLD_BACK_MS, now });
+    this.countEngines(model);
+    const hostsBefore = rank();
+    if (hostsBefore === undefined || hostsBefore >= DECIDING_HOSTS) return;
+    const view = roleView({
+      model,
+      engines,
+      knowledge,
+      holdBackMs: hostsBefore * HOLD_BACK_PER_HOST_MS,
+      now,
+    });
     if (view === undefined) return;
-    const decision = this.shifterOf(model).decide(view, now);
-    this.note(model, view, decision);
-    if (decision.type === 'move') await this.move(view, decision);
+    const decision = this.shifterFor(model).decide(view, now);
+    this.logDecision(model, view, decision);
+    if (decision.type === 'move') await this.moveEngines(view, decision);
   }
 
-  private async move(view: RoleView, { engines, role }: Move): Promise<void> {
+  private async moveEngines(view: RoleView, { engines, role }: MoveDecision): Promise<void> {
     const { clock, knowledge, lease, announce } = this.options;
     const state = await lease.hold();
     if (state.type === 'not_held') {
       log('lease_not_held', { reason: state.reason });
       return;
     }
-    const until = clock.now() + view.switchMs + LONGEST_EXTRA_MS;
+    const until = clock.now() + view.switchMs + MAX_SWITCH_OVERRUN_MS;
     engines.forEach((engine) => knowledge.moves.begin(engine, role, until));
     announce();
-    await sleep(clock, NOTICE_MS);
-    await Promise.all(engines.map((engine) => this.order(engine, role)));
+    await sleep(clock, ORDER_DELAY_MS);
+    await Promise.all(engines.map((engine) => this.orderRole(engine, role)));
   }
 
-  private async order(id: UpstreamId, role: EngineRole): Promise<void> {
+  private async orderRole(id: UpstreamId, role: EngineRole): Promise<void> {
     const { directory, knowledge, clock, announce, holder, metrics } = this.options;
     const report = await directory.getEngine(id)?.engine.load();
     const expected = report?.isOk() === true ? report.value.ordersTaken : undefined;
-    const outcome = expected === undefined ? 'no_report' : await this.send(id, role, expected);
+    const outcome = expected === undefined ? 'no_report' : await this.sendOrder(id, role, expected);
     log('order', { engine: id, role, expected, outcome, holder });
     metrics.count('role.order', { role, outcome });
-    // An order that got no answer may still be carried out: the engine stays out of use meanwhile.
+    // An unanswered order may still be executed, so the engine stays out of use until then.
     if (outcome === 'taken' || outcome === 'unanswered') return;
     knowledge.moves.takeBack(id, clock.now());
     announce();
   }
 
-  private async send(id: UpstreamId, role: EngineRole, expected: number): Promise<OrderOutcome> {
+  private async sendOrder(
+    id: UpstreamId,
+    role: EngineRole,
+    expected: number,
+  ): Promise<OrderOutcome> {
     const { clock, directory, lease, holder } = this.options;
-    let tries = 0;
+    let attempts = 0;
     let last: OrderOutcome = 'lease_lost';
-    while (tries < ORDER_TRIES) {
-      tries += 1;
-      const fence = lease.getFence() ?? (await this.renewedFence());
+    while (attempts < ORDER_ATTEMPTS) {
+      attempts += 1;
+      const fence = lease.getFence() ?? (await this.renewLease());
       const engine = directory.getEngine(id)?.engine;
       if (fence === undefined || engine === undefined) return last;
       const result = await engine.order({ type: 'role', role, fence, holder, expected });
       if (result.isOk()) return 'taken';
-      // A repeat that is refused finds the first order done: its answer was lost.
+      // A rejected retry means that the first order was executed and its answer lost.
       if (result.error.type === 'rejected') return last === 'unanswered' ? last : 'refused';
       last = outcomeOf(result.error, last);
       await sleep(clock, ORDER_RETRY_MS);
@@ -156,12 +169,12 @@
     return last;
   }
 
-  private async renewedFence(): Promise<number | undefined> {
+  private async renewLease(): Promise<number | undefined> {
     const state = await this.options.lease.hold();
     return state.type === 'held' ? state.fence : undefined;
   }
 
-  private shifterOf(model: ModelId): RoleShifter {
+  private shifterFor(model: ModelId): RoleShifter {
     const known = this.shifters.get(model);
     if (known !== undefined) return known;
     const shifter = new RoleShifter();
@@ -169,16 +182,16 @@
     return shifter;
   }
 
-  /** Writes a decision when it is another one than before. */
-  private note(model: ModelId, view: RoleView, decision: RoleDecision): void {
+  /** Logs a decision that differs from the last one of the pool. */
+  private logDecision(model: ModelId, view: RoleView, decision: RoleDecision): void {
     const { forecast } = decision;
     const reason = decision.type === 'move' ? decision.engines.join(' ') : decision.reason;
     const split =
       forecast && `${forecast.present.prefillEngines}+${forecast.present.decodeEngines}`;
     const wanted = forecast && `${forecast.wanted.prefillEngines}+${forecast.wanted.decodeEngines}`;
     const logged = `${decision.type} ${reason} ${split} ${wanted}`;
-    if (this.logged.get(model) === logged) return;
-    this.logged.set(model, logged);
+    if (this.lastLogged.get(model) === logged) return;
+    this.lastLogged.set(model, logged);
     log('decision', {
       model,
       decision: decision.type,
@@ -194,7 +207,7 @@
     });
   }
 
-  private count(model: ModelId): void {
+  private countEngines(model: ModelId): void {
     const { clock, directory, knowledge, metrics } = this.options;
     const now = clock.now();
     const states = (directory.getPool(model)?.engines ?? []).map(({ id, role }) =>
@@ -210,7 +223,7 @@
   return error.dispatched || last === 'unanswered' ? 'unanswered' : 'unreachable';
 }
 
-/** A forecast tells no more than that. */
+/** Rounds to three decimals; forecasts are not more precise. */
 function toThousandths(part: number): number {
   return Math.round(part * 1_000) / 1_000;
 }
--- a/packages/router/src/placing/StewardDesk.ts
+++ b/packages/router/src/placing/StewardDesk.ts
@@ -5,10 +5,10 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import { PoolSteward } from './PoolSteward.ts';
 
-/** Milliseconds between two looks at which pools this host coordinates. */
+/** Milliseconds between two checks of which pools this host coordinates. */
 const REFRESH_PERIOD_MS: Millis = 250;
 
-/** Requests about places on a pool's engines. */
+/** Requests to the coordinator of a pool. */
 export type PlacingRequest = Extract<
   PeerRequest,
   {
@@ -17,7 +17,7 @@
 >;
 
 /**
- * Gets the key by which a pool's steward is found.
+ * Gets the key that determines which host coordinates a pool.
  *
  * @param model - The pool's model.
  * @returns The key.
@@ -26,80 +26,79 @@
   return `pool/${model}`;
 }
 
-/** What a steward desk is made of. */
+/** Dependencies of {@link CoordinatorRegistry}. */
 export interface StewardDeskOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly group: GroupGate;
   readonly directory: UpstreamDirectory;
-  /** Names this start of this host, so that reservation ids never repeat. */
+  /** Incarnation of this host; keeps reservation ids unique across its restarts. */
   readonly incarnation: string;
 }
 
-/** Answers placing requests for every pool that this host coordinates. */
+/** Runs the coordinators of the pools assigned to this host and passes requests on to them. */
 export class StewardDesk {
   private readonly options: StewardDeskOptions;
 
-  private readonly stewards = new Map<ModelId, PoolSteward>();
+  private readonly coordinators = new Map<ModelId, PoolSteward>();
 
-  private starts = 0;
+  private startedCount = 0;
 
-  /** @param options - What the desk is made of. */
+  /** @param options - Dependencies. */
   constructor(options: StewardDeskOptions) {
     this.options = options;
   }
 
   /**
-   * Answers a request about places.
+   * Passes a request on to the coordinator of its pool.
    *
    * @param req - The request.
-   * @returns The answer; `not_steward` where another host coordinates the pool.
+   * @returns The response; `not_steward` where this host does not coordinate the pool.
    */
   async answer(req: PlacingRequest): Promise<PeerResponse> {
-    const steward = this.stewardFor(req.model);
-    if (steward === undefined) return { type: 'not_steward', epoch: 0 };
+    const coordinator = this.coordinatorFor(req.model);
+    if (coordinator === undefined) return { type: 'not_steward', epoch: 0 };
     switch (req.type) {
       case 'reserve':
-        return steward.reserve(req.item);
+        return coordinator.reserve(req.item);
       case 'withdraw':
-        steward.withdraw(req.request);
+        coordinator.withdraw(req.request);
         return { type: 'ok' };
       case 'renew':
-        return { type: 'renewed', lost: steward.renew(req.held) };
+        return { type: 'renewed', lost: coordinator.renew(req.held) };
       case 'prefill_ended':
-        steward.prefillEnded(req.reservation);
+        coordinator.prefillEnded(req.reservation);
         return { type: 'ok' };
       case 'release':
-        steward.release(req.reservation, req.end);
+        coordinator.release(req.reservation, req.end);
         return { type: 'ok' };
       case 'observe':
-        steward.observe(req.observations);
+        coordinator.observe(req.observations);
         return { type: 'ok' };
       default:
         return req satisfies never;
     }
   }
 
-  /** Takes changed pools and changed stewards into force. */
+  /** Starts, updates and stops coordinators according to the current group and configuration. */
   refresh(): void {
-    [...this.stewards].forEach(([model, steward]) => {
+    [...this.coordinators].forEach(([model, coordinator]) => {
       const pool = this.options.directory.getPool(model);
-      if (pool !== undefined && this.maySteward(model)) {
-        steward.reshape(pool);
+      if (pool !== undefined && this.mayCoordinate(model)) {
+        coordinator.reshape(pool);
         return;
       }
-      steward.stop();
-      this.stewards.delete(model);
+      coordinator.stop();
+      this.coordinators.delete(model);
     });
-    // Opened before anybody asks, so that the time in which a new steward only listens is over by
-    // then, and the first caller after a change does not pay for it.
+    // Started before the first request, so that no caller waits for the rebuild of a new coordinator.
     this.options.directory
       .getModels()
-      .filter((model) => !this.stewards.has(model) && this.maySteward(model))
-      .forEach((model) => this.open(model));
+      .filter((model) => !this.coordinators.has(model) && this.mayCoordinate(model))
+      .forEach((model) => this.start(model));
   }
 
-  /** Refreshes until stopped, since the right to coordinate also changes with time alone. */
+  /** Refreshes until the signal is aborted, since the right to coordinate can also expire. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.refresh();
@@ -107,49 +106,49 @@
     }
   }
 
-  /** Gets the models whose pools are coordinated here. */
+  /** Gets the models whose pools this host coordinates. */
   getModels(): readonly ModelId[] {
-    return [...this.stewards.keys()];
+    return [...this.coordinators.keys()];
   }
 
-  /** Gets the state to be shown to operators. */
+  /** Gets the state shown to operators. */
   dump(): readonly object[] {
-    return [...this.stewards.values()].map((steward) => steward.dump());
+    return [...this.coordinators.values()].map((coordinator) => coordinator.dump());
   }
 
-  /** Ends all coordinating. */
+  /** Stops all coordinators. */
   stop(): void {
-    this.stewards.forEach((steward) => steward.stop());
-    this.stewards.clear();
+    this.coordinators.forEach((coordinator) => coordinator.stop());
+    this.coordinators.clear();
   }
 
-  private stewardFor(model: ModelId): PoolSteward | undefined {
-    if (!this.maySteward(model)) {
-      this.stewards.get(model)?.stop();
-      this.stewards.delete(model);
+  private coordinatorFor(model: ModelId): PoolSteward | undefined {
+    if (!this.mayCoordinate(model)) {
+      this.coordinators.get(model)?.stop();
+      this.coordinators.delete(model);
       return undefined;
     }
-    return this.stewards.get(model) ?? this.open(model);
+    return this.coordinators.get(model) ?? this.start(model);
   }
 
-  private open(model: ModelId): PoolSteward | undefined {
+  private start(model: ModelId): PoolSteward | undefined {
     const pool = this.options.directory.getPool(model);
     if (pool === undefined) return undefined;
-    this.starts += 1;
-    const steward = new PoolSteward({
+    this.startedCount += 1;
+    const coordinator = new PoolSteward({
       model,
       pool,
       clock: this.options.clock,
       random: this.options.random,
       directory: this.options.directory,
-      prefix: `${this.options.incarnation}.${this.starts}`,
-      mayAct: () => this.maySteward(model),
+      prefix: `${this.options.incarnation}.${this.startedCount}`,
+      mayAct: () => this.mayCoordinate(model),
     });
-    this.stewards.set(model, steward);
-    return steward;
+    this.coordinators.set(model, coordinator);
+    return coordinator;
   }
 
-  private maySteward(model: ModelId): boolean {
+  private mayCoordinate(model: ModelId): boolean {
     return this.options.group.maySteward(poolKey(model));
   }
 }
--- a/packages/router/src/placing/localPool.ts
+++ b/packages/router/src/placing/localPool.ts
@@ -19,7 +19,7 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { PlacedPair } from './Placer.ts';
 
-/** What a request that asked for engines gets. */
+/** Engines for a request, or why it was refused. */
 export type ReserveAnswer = Result<PlacedPair, Refusal>;
 
 /** A request that waits for engines. */
@@ -29,20 +29,20 @@
   readonly answer: (answer: ReserveAnswer) => void;
 }
 
-/** What a placed request holds. */
+/** Engines and memory used by a placed request. */
 export interface HeldReservation {
   readonly model: ModelId;
   readonly team: TeamId;
   readonly pair: EnginePair;
   readonly promptTokens: Tokens;
-  /** Whether its prefill engine had nothing else to read, as far as known. */
+  /** Whether the prefill engine was idle, as far as known; only then its speed is measured. */
   readonly wasIdle: boolean;
   readonly memoryTokens: Tokens;
   /** See {@link WorkItem.longestPauseMs}. */
   readonly longestPauseMs: Millis | undefined;
 }
 
-/** The requests of one model on this host. */
+/** Queue and placement of one model's requests on this host. */
 export interface LocalPool {
   readonly model: ModelId;
   readonly placement: LocalPlacement;
@@ -50,18 +50,19 @@
   readonly waiting: Map<RequestId, WaitingRequest>;
 }
 
-/** What a placer is made of. */
+/** Dependencies of {@link LocalPlacer}. */
 export interface LocalPlacerOptions {
-  /** Times waits. */
   readonly clock: Clock;
-  /** Draws engines in large fleets. */
+  /** Samples candidate engines in large fleets. */
   readonly random: RandomSource;
-  /** Knows the engines. */
   readonly directory: UpstreamDirectory;
-  /** What this host knows of the engines, from itself and from its peers. */
+  /** State of the engines as observed by this host and reported by its peers. */
   readonly knowledge: EngineKnowledge;
-  /** Names this start of the host; reservations begin with it. */
+  /** Incarnation of this host; prefix of its reservation ids. */
   readonly incarnation: string;
-  /** Called when a request takes or gives back room, when a prompt is read, and when an engine is found down or up. */
+  /**
+   * Called when a reservation is made or released, when a prefill ends, and when an engine is found down
+   * or up, so that peers learn of it soon.
+   */
   readonly onNews: () => void;
 }
--- a/packages/router/src/placing/roleView.ts
+++ b/packages/router/src/placing/roleView.ts
@@ -3,7 +3,7 @@
 import type { EngineKnowledge, RoleView, ShiftableEngine } from '@camphorvane/decisions';
 import { MEMORY_PART } from '@camphorvane/decisions';
 
-/** What a view is made from. */
+/** Inputs of {@link roleView}. */
 export interface RoleViewSources {
   readonly model: ModelId;
   readonly engines: readonly EngineConfig[];
@@ -14,10 +14,11 @@
 }
 
 /**
- * Gets the view of a pool by which its roles are decided.
+ * Builds the view of a pool on which its engine roles are decided.
  *
- * @param sources - What this host knows.
- * @returns The view; undefined while speeds and patience are not known, or where roles can't change.
+ * @param sources - The pool and this host's state of its engines.
+ * @returns The view; undefined until engine speeds and the time that requests may wait are known, or
+ *   where the engines can't change roles.
  */
 export function roleView(sources: RoleViewSources): RoleView | undefined {
   const { model, engines, knowledge, holdBackMs, now } = sources;
@@ -31,7 +32,7 @@
   if (onTimeMs === undefined || switchMs === undefined) return undefined;
   const pieces = Math.min(...engines.map(({ memoryPieces }) => memoryPieces));
   return {
-    engines: engines.map((cfg) => shiftable(cfg, knowledge, now)),
+    engines: engines.map((cfg) => toShiftable(cfg, knowledge, now)),
     spans: demand.getSpans(model, now),
     readPerMs,
     memoryTokens: pieces * TOKENS_PER_PIECE * MEMORY_PART,
@@ -42,7 +43,7 @@
   };
 }
 
-function shiftable(
+function toShiftable(
   { id, zone, role }: EngineConfig,
   { use, health, moves }: EngineKnowledge,
   now: Millis,
--- a/packages/router/src/placing/waitingAnswer.ts
+++ b/packages/router/src/placing/waitingAnswer.ts
@@ -1,10 +1,10 @@
 import type { Millis, WorkClass } from '@camphorvane/core';
 
 /**
- * Milliseconds after which a steward tells a holder that its request still waits, by class.
+ * Long-poll period by class: milliseconds after which a coordinator answers that a request still waits.
  *
- * A steward that says nothing for longer is taken for silent. For lookups this has to be found out
- * well within the target for the first token; for the others fewer messages count more.
+ * A coordinator that sends no answer for longer counts as silent. For lookups this must be detected well
+ * within the target for the first token; for the other classes fewer messages matter more.
  */
 export const WAITING_ANSWER_MS: Readonly<Record<WorkClass, Millis>> = {
   lookup: 200,
--- a/packages/router/tests/placing/EngineProbes.test.ts
+++ b/packages/router/tests/placing/EngineProbes.test.ts
@@ -8,13 +8,13 @@
 
 const REFUSED: UpstreamError = { type: 'unreachable', dispatched: false, message: 'refused' };
 
-/** A host before engines of which some are down; it counts how often each is asked. */
+/** Probes against four fake engines, with counts of the probes that each received. */
 class ProbedFleet {
   readonly clock = new VirtualClock();
 
   readonly health = new EngineHealth();
 
-  readonly asked = new Map<string, number>();
+  readonly probeCounts = new Map<string, number>();
 
   readonly down = new Set<string>();
 
@@ -24,12 +24,12 @@
 
   readonly probes: EngineProbes;
 
-  changes = 0;
+  changeCount = 0;
 
   constructor() {
     const engineOf = (id: string) => ({
       load: async () => {
-        this.asked.set(id, (this.asked.get(id) ?? 0) + 1);
+        this.probeCounts.set(id, (this.probeCounts.get(id) ?? 0) + 1);
         return this.down.has(id) ? err(REFUSED) : ok({});
       },
     });
@@ -43,14 +43,14 @@
         getEngineIds: () => [...this.listed],
       },
       onChange: () => {
-        this.changes += 1;
+        this.changeCount += 1;
       },
     });
   }
 }
 
-// A stream breaks because its server lost an answer. The engine is well, and must be used again at once.
-test('an engine that answers is used again at once', async () => {
+// Guards against avoiding a healthy engine after one of its streams broke, as when an answer is lost.
+test('a suspected engine that answers its first probe is used again at once', async () => {
   const fleet = new ProbedFleet();
   fleet.probes.suspect('e1');
   assert.equal(fleet.health.isSuspected('e1'), true);
@@ -59,38 +59,37 @@
   assert.deepEqual(fleet.probes.getDown(), []);
 });
 
-// An engine crashes under ten streams. Tried with requests until the list drops it, it would cost a
-// prompt that was read for nothing with each.
-test('an engine that crashed is asked now and then, and used once it answers', async () => {
+// An engine that crashed under ten streams stays listed for a while. Without probes every host would find
+// it down by sending requests, each with a wasted prefill.
+test('a crashed engine is probed with a back-off and used once it answers', async () => {
   const fleet = new ProbedFleet();
   fleet.down.add('e1');
   Array.from({ length: 10 }, () => fleet.probes.suspect('e1'));
   await fleet.clock.advance(3_000);
   assert.equal(fleet.health.isSuspected('e1'), true);
   assert.deepEqual(fleet.probes.getDown(), ['e1']);
-  assert.ok((fleet.asked.get('e1') ?? 0) <= 5, `${fleet.asked.get('e1')}`);
+  assert.ok((fleet.probeCounts.get('e1') ?? 0) <= 5, `${fleet.probeCounts.get('e1')}`);
   fleet.down.delete('e1');
   await fleet.clock.advance(1_600);
   assert.equal(fleet.health.isSuspected('e1'), false);
   assert.deepEqual(fleet.probes.getDown(), []);
 });
 
-test('an engine that is not listed any more is not asked any more', async () => {
+test('an engine that is no longer listed is no longer probed', async () => {
   const fleet = new ProbedFleet();
   fleet.down.add('e1');
   fleet.probes.suspect('e1');
   await fleet.clock.advance(1_000);
   fleet.listed.delete('e1');
   await fleet.clock.advance(2_000);
-  const asked = fleet.asked.get('e1');
+  const probeCount = fleet.probeCounts.get('e1');
   await fleet.clock.advance(10_000);
-  assert.equal(fleet.asked.get('e1'), asked);
+  assert.equal(fleet.probeCounts.get('e1'), probeCount);
   assert.equal(fleet.health.isSuspected('e1'), false);
 });
 
-// A host is cut off from the engines and finds them all down. If its peers went by its word, nobody
-// would serve.
-test('a peer is believed only as far as the engine itself gives no answer', async () => {
+// A partitioned host reports all engines as down. If its peers relied on that report, no host would serve.
+test('an engine that a peer reports as down is avoided only if it does not answer a probe', async () => {
   const fleet = new ProbedFleet();
   fleet.down.add('e2');
   fleet.probes.receive(['e1', 'e2']);
@@ -99,10 +98,10 @@
   assert.equal(fleet.health.isSuspected('e2'), true);
   Array.from({ length: 20 }, () => fleet.probes.receive(['e1', 'e2']));
   await fleet.clock.advance(100);
-  assert.equal(fleet.asked.get('e1'), 1);
+  assert.equal(fleet.probeCounts.get('e1'), 1);
 });
 
-test('a host that finds most engines down says nothing of them', async () => {
+test('a host that finds most engines down does not report them', async () => {
   const fleet = new ProbedFleet();
   ['e1', 'e2', 'e3'].forEach((id) => {
     fleet.down.add(id);
@@ -110,19 +109,27 @@
   });
   await fleet.clock.advance(10);
   assert.deepEqual(fleet.probes.getDown(), []);
-  assert.ok(fleet.changes >= 3);
+  assert.ok(fleet.changeCount >= 3);
 });
 
-// A host leaves while an engine is down. Were it to go on asking, its process would not end.
-test('a host that stops asks no engine any more', async () => {
+// Guards against a process that does not exit because it goes on probing an engine that is down.
+test('no engine is probed after the stop', async () => {
   const fleet = new ProbedFleet();
   fleet.down.add('e1');
   fleet.probes.suspect('e1');
   await fleet.clock.advance(1);
-  const asked = fleet.asked.get('e1');
+  const probeCount = fleet.probeCounts.get('e1');
   fleet.probes.stop();
   fleet.probes.suspect('e2');
   await fleet.clock.advance(10_000);
-  assert.equal(fleet.asked.get('e1'), asked, 'it was asked after the stop');
-  assert.equal(fleet.asked.get('e2'), undefined, 'a new one was asked after the stop');
+  assert.equal(
+    fleet.probeCounts.get('e1'),
+    probeCount,
+    'an engine that was down was probed after the stop',
+  );
+  assert.equal(
+    fleet.probeCounts.get('e2'),
+    undefined,
+    'a newly suspected engine was probed after the stop',
+  );
 });
--- a/packages/router/tests/placing/RoleControl.test.ts
+++ b/packages/router/tests/placing/RoleControl.test.ts
@@ -17,41 +17,40 @@
   }
 }
 
-const changing = (fleet: RoleFleet): readonly string[] =>
+const changingEngines = (fleet: RoleFleet): readonly string[] =>
   ['p1', 'p2', 'p3', 'd1', 'd2', 'd3'].filter(
     (id) => fleet.knowledge.moves.roleOf(id, fleet.clock.now()) !== undefined,
   );
 
-test('an engine is ordered once, with the fencing number and what the engine must expect', async () => {
+test('a role change is ordered once, with the fencing token and the expected number of orders', async () => {
   await withFleet(async (fleet) => {
     await fleet.play(12_000);
     assert.equal(fleet.orders.length, 1);
-    const [given] = fleet.orders;
-    assert.deepEqual(given?.order, {
+    const [sent] = fleet.orders;
+    assert.deepEqual(sent?.order, {
       ...{ type: 'role', role: 'decode', fence: 41, holder: 'h1', expected: 3 },
     });
-    assert.deepEqual(changing(fleet), [given.engine]);
+    assert.deepEqual(changingEngines(fleet), [sent.engine]);
     assert.ok(fleet.announced >= 1);
-    fleet.complete(given.engine, 'decode');
+    fleet.complete(sent.engine, 'decode');
     await fleet.play(600);
-    assert.deepEqual(changing(fleet), []);
+    assert.deepEqual(changingEngines(fleet), []);
   });
 });
 
-// Another host holds the lease, or the store is away. Two hosts that order at a time would turn both of
-// the engines that are to spare.
-test('without the lease nothing is ordered, and no engine is taken out of use', async () => {
+// Guards against two hosts ordering at the same time, which would move more engines than can be spared.
+test('without the lease no order is sent and no engine is taken out of use', async () => {
   await withFleet(async (fleet) => {
     fleet.set({ lease: { type: 'not_held', reason: 'store_away' } });
     await fleet.play(12_000);
     assert.deepEqual(fleet.orders, []);
-    assert.deepEqual(changing(fleet), []);
+    assert.deepEqual(changingEngines(fleet), []);
   });
 });
 
-// The answer to an order is lost. The engine may carry it out at any moment, so nobody may use it; the
-// order is sent again with the same expectation, so that it can't be carried out twice.
-test('an order without an answer is sent again, and the engine stays out of use', async () => {
+// The answer to an order is lost, and the engine may execute the order at any time, so it must not be used.
+// The retry expects the same number of orders, so that the engine can't execute it twice.
+test('an unanswered order is sent again, and the engine stays out of use', async () => {
   await withFleet(async (fleet) => {
     fleet.set({ answers: [err(UNANSWERED), err(REFUSED)] });
     await fleet.play(6_000);
@@ -60,24 +59,24 @@
       fleet.orders.map(({ order }) => order.type === 'role' && order.expected),
       [3, 3],
     );
-    assert.equal(changing(fleet).length, 1);
+    assert.equal(changingEngines(fleet).length, 1);
   });
 });
 
-test('an engine that refuses an order is used as before', async () => {
+test('an engine that rejects an order is used in its present role again', async () => {
   await withFleet(async (fleet) => {
     fleet.set({ answers: [err(REFUSED)] });
     await fleet.play(4_500);
     assert.ok(fleet.orders.length >= 1);
     fleet.set({ rank: undefined });
     await fleet.play(1_500);
-    assert.deepEqual(changing(fleet), []);
+    assert.deepEqual(changingEngines(fleet), []);
   });
 });
 
-// The engine that was chosen has just crashed. It gets no order without a report, since nobody knows
-// which orders it has taken.
-test('an engine that gives no report gets no order', async () => {
+// The chosen engine has just crashed. Without its load report the number of orders it has accepted is
+// unknown, and an order could be executed twice.
+test('an engine without a load report gets no order', async () => {
   await withFleet(async (fleet) => {
     fleet.set({ report: err(DOWN) });
     await fleet.play(6_000);
@@ -85,8 +84,8 @@
   });
 });
 
-// The lease is lost between the decision and the order, because the host was suspended meanwhile.
-test('a host that has lost the lease since it decided orders nothing', async () => {
+// Guards against an order from a host that was suspended after its decision and has lost the lease since.
+test('a host that loses the lease after its decision sends no order', async () => {
   await withFleet(async (fleet) => {
     const { moves } = fleet.knowledge;
     const begin = moves.begin.bind(moves);
@@ -96,11 +95,11 @@
     };
     await fleet.play(8_000);
     assert.deepEqual(fleet.orders, []);
-    assert.deepEqual(changing(fleet), []);
+    assert.deepEqual(changingEngines(fleet), []);
   });
 });
 
-test('a host that leaves, or that has others before it, orders nothing', async () => {
+test('a host that is leaving or has three hosts before it sends no order', async () => {
   await withFleet(async (fleet) => {
     fleet.set({ rank: undefined });
     await fleet.play(8_000);
