--- a/packages/router/tests/support/MemoryFleet.ts
+++ b/packages/router/tests/support/MemoryFleet.ts
@@ -15,9 +15,10 @@
 
 export const KEY = 'cvk_test_key_of_team_a';
 
-/** Steps of {@link STEP_MS} in which a test's wait must end. */
-const MAX_STEPS = 600;
+/** Steps of {@link STEP_MS} after which a wait fails: one minute of virtual time. */
+const MAX_WAIT_STEPS = 600;
 
+/** Milliseconds by which a wait advances the clock. */
 const STEP_MS = 100;
 
 const url = (id: string): string => `http://${id}`;
@@ -77,17 +78,17 @@
   };
 }
 
-/** A completion on its way. */
+/** A completion in flight. */
 export interface StartedCompletion {
   readonly id: string;
   readonly events: readonly CompletionEvent[];
-  /** Ends the caller's connection. */
+  /** Closes the caller's connection. */
   leave(): void;
-  /** Lets time go on until the completion has ended. */
+  /** Advances the clock until the completion has ended; gets all its events. */
   ended(fleet: MemoryFleet): Promise<readonly CompletionEvent[]>;
 }
 
-/** Starts a completion as the HTTP interface would. */
+/** Starts a completion as the HTTP interface does. */
 export function startCompletion(host: Host, given: Partial<CompletionRequest>): StartedCompletion {
   const req: CompletionRequest = {
     key: KEY,
@@ -99,18 +100,18 @@
     ...given,
   };
   const events: CompletionEvent[] = [];
-  const gone = new AbortController();
+  const caller = new AbortController();
   const id = host.backend.newRequestId();
   const state = { done: false };
   const run = async (): Promise<void> => {
-    for await (const event of host.backend.complete(id, req, gone.signal)) events.push(event);
+    for await (const event of host.backend.complete(id, req, caller.signal)) events.push(event);
     state.done = true;
   };
   const running = run();
   return {
     id,
     events,
-    leave: () => gone.abort(),
+    leave: () => caller.abort(),
     ended: async (fleet) => {
       await fleet.advanceUntil(() => state.done);
       await running;
@@ -119,12 +120,12 @@
   };
 }
 
-/** Gets the text that a caller received. */
+/** Joins the text of all tokens that a caller received. */
 export function textOf(events: readonly CompletionEvent[]): string {
   return events.map((event) => (event.type === 'token' ? event.text : '')).join('');
 }
 
-/** Hosts, engines and a platform in memory, under a virtual clock. */
+/** Hosts, engines, a plain service and an object store in memory, on a virtual clock. */
 export class MemoryFleet {
   readonly key = KEY;
 
@@ -169,14 +170,14 @@
     return engine;
   }
 
-  /** Lets time go on until something holds, for a minute at most. */
-  async advanceUntil(holds: () => boolean): Promise<void> {
+  /** Advances the clock until a condition is met; fails after a minute. */
+  async advanceUntil(isMet: () => boolean): Promise<void> {
     let steps = 0;
-    while (!holds() && steps < MAX_STEPS) {
+    while (!isMet() && steps < MAX_WAIT_STEPS) {
       await this.clock.advance(STEP_MS);
       steps += 1;
     }
-    if (!holds()) throw new Error('still waiting after a minute');
+    if (!isMet()) throw new Error('the condition was not met within a minute');
   }
 
   private async apply(cfg: RoutingConfig, changeId: string, base: ApplyBase): Promise<void> {
@@ -191,20 +192,20 @@
     return host;
   }
 
-  /** Gets the host that coordinates the pool now. */
+  /** Gets the host that currently coordinates the pool. */
   stewardOfPool(): Host {
-    const steward = this.hosts.find((host) => host.getCoordinated().includes('m'));
-    if (steward === undefined) throw new Error('nobody coordinates the pool');
-    return steward;
+    const coordinator = this.hosts.find((host) => host.getCoordinated().includes('m'));
+    if (coordinator === undefined) throw new Error('no host coordinates the pool');
+    return coordinator;
   }
 
-  /** Cuts a host off from all others; the platform and engines stay within its reach. */
+  /** Partitions a host from all other hosts; it still reaches the store and the engines. */
   cutOff(host: Host): void {
     const name = host.getName();
     this.hosts.forEach((other) => this.network.cut(name, other.getName()));
   }
 
-  /** Lets time go on until a promise has settled. */
+  /** Advances the clock until a promise has settled. */
   async during<T>(promise: Promise<T>): Promise<T> {
     const state = { settled: false };
     const settled = promise.finally(() => {
@@ -214,7 +215,7 @@
     return settled;
   }
 
-  /** Issues a certificate; gets its answer or refusal in short. */
+  /** Issues a certificate; gets a short form of the response or refusal. */
   async issueCertificate(host: Host, idempotencyKey: string): Promise<string> {
     const reply = await host.backend.callService(
       host.backend.newRequestId(),
@@ -237,12 +238,12 @@
     );
   }
 
-  /** Gets the attempts that hold memory on any engine. */
+  /** Gets the attempts that occupy memory on any engine. */
   heldAttempts(): readonly string[] {
     return [...this.engines.values()].flatMap((engine) => engine.currentLoad().attempts);
   }
 
-  /** Gets the engine that streams the answer to a call. */
+  /** Gets the decode engine that streams the answer to a call, the only one in flight. */
   decodeEngineOf(call: StartedCompletion): EngineCore {
     const engine = ['d1', 'd2']
       .map((id) => this.engine(id))
@@ -251,7 +252,7 @@
     return engine;
   }
 
-  /** Takes all keys of the team out of the configuration. */
+  /** Removes all keys of the team from the configuration. */
   async withdrawKeys(): Promise<void> {
     const cfg = testConfig();
     const teams = cfg.teams.map((team) => ({ ...team, keyDigests: [] }));
--- a/packages/router/tests/support/RoleFleet.ts
+++ b/packages/router/tests/support/RoleFleet.ts
@@ -10,24 +10,24 @@
 
 const MODEL = 'm';
 
-/** What a fleet's surroundings do. */
+/** Simulated behavior of the store, the engines and the other hosts. */
 export interface RoleScript {
   readonly lease: LeaseState;
-  /** What engines answer to orders, one after the other; the last answer stays. */
+  /** Responses to orders, in sequence; the last one repeats. */
   readonly answers: readonly Result<void, UpstreamError>[];
-  /** Orders that an engine says it has taken, or why it says nothing. */
+  /** Number of orders that engines report to have accepted, or why they do not answer. */
   readonly report: Result<number, UpstreamError>;
-  /** Hosts that are to act before this one. */
+  /** Number of hosts that precede this one; undefined while it must not decide. */
   readonly rank: number | undefined;
 }
 
-/** An order that was given. */
+/** An order that an engine received. */
 export interface GivenOrder {
   readonly engine: string;
   readonly order: EngineOrder;
 }
 
-/** A host before three prefill and three decode engines, whose demand fills decode memory. */
+/** Role control of three prefill and three decode engines, under demand that fills decode memory. */
 export class RoleFleet {
   readonly clock = new VirtualClock();
 
@@ -37,7 +37,7 @@
 
   announced = 0;
 
-  private script: RoleScript = {
+  private behavior: RoleScript = {
     lease: { type: 'held', fence: 41 },
     answers: [ok(undefined)],
     report: ok(3),
@@ -48,7 +48,7 @@
     ['p1', 'p2', 'p3', 'd1', 'd2', 'd3'].map((id) => [id, id[0] === 'p' ? 'prefill' : 'decode']),
   );
 
-  private readonly stop = new AbortController();
+  private readonly stopped = new AbortController();
 
   constructor() {
     const { clock, knowledge } = this;
@@ -68,43 +68,43 @@
         getEngine: (id) => ({ cfg: this.cfgOf(id), engine: this.engineOf(id) as never }),
       },
       lease: {
-        hold: async () => this.script.lease,
+        hold: async () => this.behavior.lease,
         getFence: () => {
-          const { lease } = this.script;
+          const { lease } = this.behavior;
           return lease.type === 'held' ? lease.fence : undefined;
         },
       },
       holder: 'h1',
-      rank: () => this.script.rank,
+      rank: () => this.behavior.rank,
       announce: () => {
         this.announced += 1;
       },
       metrics: new Metrics(),
     });
-    void control.run(this.stop.signal);
+    void control.run(this.stopped.signal);
   }
 
-  /** Changes what the surroundings do. */
+  /** Changes parts of the simulated behavior. */
   set(change: Partial<RoleScript>): void {
-    this.script = { ...this.script, ...change };
+    this.behavior = { ...this.behavior, ...change };
   }
 
-  /** Ends the control. */
+  /** Stops the role control. */
   end(): void {
-    this.stop.abort();
+    this.stopped.abort();
   }
 
-  /** Lets requests come for a while. */
+  /** Advances the clock with one request every 100 ms. */
   async play(forMs: number): Promise<void> {
     const steps = Array.from({ length: forMs / 100 }, (_, i) => i);
-    await steps.reduce(async (before, i) => {
-      await before;
+    await steps.reduce(async (previous, i) => {
+      await previous;
       this.knowledge.demand.asked(MODEL, this.item(i), this.clock.now());
       await this.clock.advance(100);
     }, Promise.resolve());
   }
 
-  /** Has the list of engines show a changed role. */
+  /** Lists an engine with another role, as after a completed change. */
   complete(id: string, role: EngineRole): void {
     this.roles.set(id, role);
   }
@@ -130,10 +130,10 @@
 
   private engineOf(engine: string) {
     return {
-      load: async () => this.script.report.map((ordersTaken) => ({ ordersTaken })),
+      load: async () => this.behavior.report.map((ordersTaken) => ({ ordersTaken })),
       order: async (order: EngineOrder) => {
         this.orders.push({ engine, order });
-        const [answer = ok(undefined), ...rest] = this.script.answers;
+        const [answer = ok(undefined), ...rest] = this.behavior.answers;
         if (rest.length > 0) this.set({ answers: rest });
         return answer;
       },
