--- a/packages/decisions/src/local/EngineHealth.ts
+++ b/packages/decisions/src/local/EngineHealth.ts
@@ -1,165 +1,182 @@
 import type { Millis, Tokens, UpstreamId } from '@camphorvane/core';
 
-/** Milliseconds for which an engine is passed over after its first failure in a row. */
-const FIRST_REST_MS: Millis = 500;
+/** Back-off after the first failure in a row, in milliseconds. */
+const INITIAL_BACKOFF_MS: Millis = 500;
 
 /**
- * Longest rest, in milliseconds. An engine that restarts is back after some seconds; one request
- * each two seconds finds out without losing many.
+ * Longest back-off, in milliseconds. A restarting engine is back within seconds, and one request every
+ * two seconds notices it at little loss.
  */
-const LONGEST_REST_MS: Millis = 2_000;
+const MAX_BACKOFF_MS: Millis = 2_000;
 
-/** Prompt tokens an engine reads in a millisecond, until it has shown its own speed. */
-const ASSUMED_TOKENS_PER_MS = 50;
+/** Prefill speed that is assumed until one was measured, in prompt tokens per millisecond. */
+const DEFAULT_PREFILL_TOKENS_PER_MS = 50;
 
-/** Prompts that an engine's speed is taken from: the last ones, so that it follows a change. */
-const SPEED_SAMPLES = 15;
+/** Recent prefills from which the speed of an engine is estimated; few, so that it follows changes. */
+const PREFILL_SPEED_SAMPLES = 15;
 
 /**
- * Place of the speed that is taken among those measured. Some prompts wait behind others of which this
- * host does not know yet, and seem slow; a few were read before, and take no time at all.
+ * Quantile of the recent prefill speeds that is used as the estimate. The lowest belong to prompts that
+ * queued behind requests this host did not know of, the highest to prompts that were cached.
  */
-const SPEED_QUANTILE = 0.8;
+const PREFILL_SPEED_QUANTILE = 0.8;
 
-/** Weight of the newest time between tokens; about the last eight measurements count. */
-const TOKEN_WEIGHT = 0.15;
+/** Weight of the newest sample in the mean token interval; about the last eight samples count. */
+const TOKEN_INTERVAL_WEIGHT = 0.15;
 
 interface Health {
-  readonly failures: number;
-  readonly restUntil: Millis;
-  /** Prompt tokens read in a millisecond, for each of the last prompts. */
-  readonly readSpeeds: readonly number[];
-  /** Milliseconds between two output tokens of a stream; undefined until there were some. */
-  readonly tokenMs: Millis | undefined;
+  readonly consecutiveFailures: number;
+  readonly backoffUntil: Millis;
+  /** Speeds of the most recent prefills, in prompt tokens per millisecond. */
+  readonly prefillSpeeds: readonly number[];
+  /** Mean time between two output tokens of a stream; undefined until it was measured. */
+  readonly tokenIntervalMs: Millis | undefined;
 }
 
 const HEALTHY: Health = {
-  failures: 0,
-  restUntil: 0,
-  readSpeeds: [],
-  tokenMs: undefined,
+  consecutiveFailures: 0,
+  backoffUntil: 0,
+  prefillSpeeds: [],
+  tokenIntervalMs: undefined,
 };
 
 /**
- * Remembers how engines did for this host: which failed lately, and how fast each reads prompts.
+ * Tracks the recent failures and the speed of each engine, as this host has seen them.
  *
- * Made for engines that are down, dark or slow while the list of servers still names them: without it
- * every request would try them again.
+ * Engines that are down, unreachable or slow can stay listed for a while; without this every request
+ * would try them again.
  */
 export class EngineHealth {
-  private readonly known = new Map<UpstreamId, Health>();
+  private readonly healthByEngine = new Map<UpstreamId, Health>();
 
-  /** Engines that are not used until a probe finds them up. */
+  /** Engines that are not used until they answer a probe. */
   private readonly suspected = new Set<UpstreamId>();
 
-  /** Takes an engine out of use until it is trusted again. */
+  /** Takes an engine out of use until {@link EngineHealth.trust} is called for it. */
   suspect(engine: UpstreamId): void {
     this.suspected.add(engine);
   }
 
-  /** Notes that an engine answered a probe. */
+  /** Takes an engine back into use, because it answered a probe or is not listed any more. */
   trust(engine: UpstreamId): void {
     this.suspected.delete(engine);
   }
 
-  /** Tells whether an engine is out of use until it answers. */
+  /** Gets whether an engine is out of use until it answers a probe. */
   isSuspected(engine: UpstreamId): boolean {
     return this.suspected.has(engine);
   }
 
-  /** Forgets engines that are not listed any more. */
+  /** Drops what was recorded of engines that are not in the given set. */
   keepOnly(engines: ReadonlySet<UpstreamId>): void {
-    [...this.known.keys()].filter((id) => !engines.has(id)).forEach((id) => this.known.delete(id));
+    [...this.healthByEngine.keys()]
+      .filter((id) => !engines.has(id))
+      .forEach((id) => this.healthByEngine.delete(id));
   }
 
-  /** Notes a failure; each further one in a row doubles the rest. */
+  /** Records a failure; each further one in a row doubles the back-off. */
   failed(engine: UpstreamId, now: Millis): void {
-    const health = this.known.get(engine) ?? HEALTHY;
-    const restMs = Math.min(LONGEST_REST_MS, FIRST_REST_MS * 2 ** health.failures);
-    this.known.set(engine, {
+    const health = this.healthByEngine.get(engine) ?? HEALTHY;
+    const backoffMs = Math.min(
+      MAX_BACKOFF_MS,
+      INITIAL_BACKOFF_MS * 2 ** health.consecutiveFailures,
+    );
+    this.healthByEngine.set(engine, {
       ...health,
-      failures: health.failures + 1,
-      restUntil: now + restMs,
+      consecutiveFailures: health.consecutiveFailures + 1,
+      backoffUntil: now + backoffMs,
     });
   }
 
-  /** Notes that the engine did what it was asked. */
+  /** Records a success, which ends the back-off. */
   succeeded(engine: UpstreamId): void {
-    const health = this.known.get(engine);
-    if (health === undefined || health.failures === 0) return;
-    this.known.set(engine, { ...health, failures: 0, restUntil: 0 });
+    const health = this.healthByEngine.get(engine);
+    if (health === undefined || health.consecutiveFailures === 0) return;
+    this.healthByEngine.set(engine, { ...health, consecutiveFailures: 0, backoffUntil: 0 });
   }
 
   /**
-   * Takes in the time that a prefill took on an engine that had nothing else to read, as far as known.
+   * Records a prefill on an engine that had no other prompt to process, as far as this host knew.
    *
    * @param engine - The engine.
    * @param tokens - Tokens of the prompt.
-   * @param tookMs - Milliseconds from sending to the answer.
+   * @param tookMs - Milliseconds from sending the request to the answer.
    */
   prefillTook(engine: UpstreamId, tokens: Tokens, tookMs: Millis): void {
-    const health = this.known.get(engine) ?? HEALTHY;
-    const measured = tokens / Math.max(1, tookMs);
-    const readSpeeds = [...health.readSpeeds, measured].slice(-SPEED_SAMPLES);
-    this.known.set(engine, { ...health, readSpeeds });
+    const health = this.healthByEngine.get(engine) ?? HEALTHY;
+    const speed = tokens / Math.max(1, tookMs);
+    const prefillSpeeds = [...health.prefillSpeeds, speed].slice(-PREFILL_SPEED_SAMPLES);
+    this.healthByEngine.set(engine, { ...health, prefillSpeeds });
   }
 
   /**
-   * Takes in how fast an engine made the output of streams.
+   * Records a sample of the time between output tokens on an engine.
    *
    * @param engine - The engine.
    * @param tokenMs - Milliseconds between two tokens of a stream.
    */
   tokensTook(engine: UpstreamId, tokenMs: Millis): void {
-    const health = this.known.get(engine) ?? HEALTHY;
-    const known = health.tokenMs ?? tokenMs;
-    this.known.set(engine, { ...health, tokenMs: known + (tokenMs - known) * TOKEN_WEIGHT });
+    const health = this.healthByEngine.get(engine) ?? HEALTHY;
+    const mean = health.tokenIntervalMs ?? tokenMs;
+    this.healthByEngine.set(engine, {
+      ...health,
+      tokenIntervalMs: mean + (tokenMs - mean) * TOKEN_INTERVAL_WEIGHT,
+    });
   }
 
-  /** Tells whether the engine is passed over at present. */
+  /** Gets whether the engine is in back-off after a failure. */
   isResting(engine: UpstreamId, now: Millis): boolean {
-    return (this.known.get(engine)?.restUntil ?? 0) > now;
+    return (this.healthByEngine.get(engine)?.backoffUntil ?? 0) > now;
   }
 
   /**
-   * Gets the time that an engine takes to read so many tokens.
+   * Estimates the prefill time of a prompt on an engine that has nothing else to do.
    *
    * @param engine - The engine.
-   * @param tokens - What it is to read.
-   * @param alike - Engines of its kind, whose speed is taken until it has shown its own.
+   * @param tokens - Tokens of the prompt.
+   * @param pool - Engines of the same pool; their mean speed is used until that of the engine is known.
    * @returns Milliseconds.
    */
-  readMs(engine: UpstreamId, tokens: Tokens, alike: readonly UpstreamId[]): Millis {
-    const readPerMs = this.readPerMs(engine) ?? this.meanReadPerMs(alike);
-    return tokens / (readPerMs ?? ASSUMED_TOKENS_PER_MS);
+  readMs(engine: UpstreamId, tokens: Tokens, pool: readonly UpstreamId[]): Millis {
+    const tokensPerMs = this.prefillTokensPerMs(engine) ?? this.meanReadPerMs(pool);
+    return tokens / (tokensPerMs ?? DEFAULT_PREFILL_TOKENS_PER_MS);
   }
 
-  /** Gets the time of an output token of an engine, or of its kind; undefined before there was one. */
-  tokenMs(engine: UpstreamId, alike: readonly UpstreamId[]): Millis | undefined {
-    return this.known.get(engine)?.tokenMs ?? this.meanTokenMs(alike);
+  /**
+   * Gets the mean time between output tokens on an engine, or on its pool while that is not known.
+   *
+   * @param engine - The engine.
+   * @param pool - Engines of the same pool.
+   * @returns Milliseconds; undefined while no engine of the pool was measured.
+   */
+  tokenMs(engine: UpstreamId, pool: readonly UpstreamId[]): Millis | undefined {
+    return this.healthByEngine.get(engine)?.tokenIntervalMs ?? this.meanTokenMs(pool);
   }
 
-  /** Tells whether the engine failed when it was last tried. */
+  /** Gets whether the last attempt on the engine failed. */
   isFailing(engine: UpstreamId): boolean {
-    return (this.known.get(engine)?.failures ?? 0) > 0;
+    return (this.healthByEngine.get(engine)?.consecutiveFailures ?? 0) > 0;
   }
 
-  /** Gets the mean speed of those engines that have shown one; undefined where none has. */
+  /** Gets the mean prefill speed of the engines that were measured, in tokens per millisecond. */
   meanReadPerMs(engines: readonly UpstreamId[]): number | undefined {
-    return meanOf(engines.map((engine) => this.readPerMs(engine)));
+    return meanOf(engines.map((engine) => this.prefillTokensPerMs(engine)));
   }
 
-  /** Gets the mean time of an output token, over engines that have made some. */
+  /** Gets the mean time between output tokens over the engines that were measured. */
   meanTokenMs(engines: readonly UpstreamId[]): Millis | undefined {
-    return meanOf(engines.map((engine) => this.known.get(engine)?.tokenMs));
+    return meanOf(engines.map((engine) => this.healthByEngine.get(engine)?.tokenIntervalMs));
   }
 
-  private readPerMs(engine: UpstreamId): number | undefined {
-    const speeds = [...(this.known.get(engine)?.readSpeeds ?? [])].sort((a, b) => a - b);
-    return speeds[Math.floor(speeds.length * SPEED_QUANTILE)];
+  private prefillTokensPerMs(engine: UpstreamId): number | undefined {
+    const speeds = [...(this.healthByEngine.get(engine)?.prefillSpeeds ?? [])].sort(
+      (a, b) => a - b,
+    );
+    return speeds[Math.floor(speeds.length * PREFILL_SPEED_QUANTILE)];
   }
 }
 
+/** Gets the mean of the values that are known; undefined where none is. */
 function meanOf(values: readonly (number | undefined)[]): number | undefined {
   const known = values.filter((value) => value !== undefined);
   if (known.length === 0) return undefined;
--- a/packages/decisions/src/local/EngineKnowledge.ts
+++ b/packages/decisions/src/local/EngineKnowledge.ts
@@ -7,32 +7,32 @@
 import { SlowStart } from './SlowStart.ts';
 
 /**
- * Milliseconds for which a peer's hint about its queue counts. Hints come within 200 ms; a request that
- * was on time half a second ago is placed, late or gone by now.
+ * Lifetime of a peer's backlog report, in milliseconds. Reports arrive within 200 ms; a request that was
+ * on time half a second ago has been placed, is late or was cancelled by now.
  */
-const WAITING_LIFE_MS: Millis = 500;
+const BACKLOG_REPORT_TTL_MS: Millis = 500;
 
-/** What a host knows of engines and of the demand on them; placing and the roles go by it. */
+/** What one host knows of the engines and the demand; placement and role changes are based on it. */
 export class EngineKnowledge {
-  /** What all hosts have on each engine. */
+  /** Load in flight on each engine, from this host and its peers. */
   readonly use = new UseBook();
 
-  /** Requests of each pool that wait on other hosts and can still be on time. */
-  readonly waiting = new PeerCounts(WAITING_LIFE_MS);
+  /** Requests that are queued on other hosts and can still meet their target, by pool. */
+  readonly waiting = new PeerCounts(BACKLOG_REPORT_TTL_MS);
 
-  /** How the engines did for this host. */
+  /** Failures and speed of each engine, as seen by this host. */
   readonly health = new EngineHealth();
 
-  /** Engines that are changing their role. */
+  /** Engines whose role is being changed. */
   readonly moves = new EngineMoves();
 
-  /** What was asked of the pools. */
+  /** Demand on each pool, over all hosts. */
   readonly demand = new DemandBook();
 
-  /** Which engines have just started. */
+  /** Upstreams that have just started, and how many requests they may get. */
   readonly slowStart: SlowStart;
 
-  /** @param slowStart - Which upstreams have just started. */
+  /** @param slowStart - Bounds on the requests to upstreams that have just started. */
   constructor(slowStart = new SlowStart()) {
     this.slowStart = slowStart;
   }
--- a/packages/decisions/src/local/EngineUse.ts
+++ b/packages/decisions/src/local/EngineUse.ts
@@ -1,100 +1,101 @@
 import type { HostId, Millis, Tokens, UpstreamId } from '@camphorvane/core';
 import { gossipPace } from './gossipPace.ts';
 
-/** What one host has on one engine at present. */
+/** Load that one host has in flight on one engine. */
 export interface EngineUse {
-  /** Prompt tokens that were sent to be read and are not read yet. */
+  /** Prompt tokens that were dispatched and whose prefill has not ended. */
   readonly prefillTokens: Tokens;
-  /** Requests that hold a slot for output. */
+  /** Requests that hold a decode slot. */
   readonly streams: number;
-  /** Memory of those requests, in tokens. */
+  /** KV memory of those requests, in tokens. */
   readonly memoryTokens: Tokens;
 }
 
-/** Prompts that were sent to an engine to be read, in tokens. */
+/** Prompts that were dispatched to an engine and whose prefill has not ended. */
 export interface PromptQueue {
+  /** Tokens that this host has there. */
   readonly own: Tokens;
-  /** What peers had there when they last said so. */
+  /** Tokens that peers had there when they last reported. */
   readonly peers: Tokens;
-  /** Milliseconds since the newest hint of a peer with a prompt there; infinite without any. */
+  /** Age of the newest report of a peer with a prompt there, in milliseconds; infinite without any. */
   readonly peersAgeMs: Millis;
 }
 
-/** An engine on which a host has nothing. */
+/** Load of a host that has nothing in flight on an engine. */
 export const NO_USE: EngineUse = { prefillTokens: 0, streams: 0, memoryTokens: 0 };
 
 /**
- * Milliseconds for which a peer's hint about its use counts at least. A host that was silent for this
- * long is dead, cut off or frozen, and the requests it had are ending.
+ * Shortest lifetime of a peer's report, in milliseconds. A host that is silent for longer is dead,
+ * partitioned or frozen, and its requests are ending.
  */
-const LEAST_HINT_LIFE_MS: Millis = 1_500;
+const MIN_REPORT_TTL_MS: Millis = 1_500;
 
-/** Name under which the sum of all peers is kept where it comes as one. */
+/** Key of the sum over all peers, where a relay reports it in their stead. */
 const ALL_PEERS = '';
 
 interface PeerReport {
   readonly at: Millis;
-  /** Hosts whose use it is. */
+  /** Hosts that the report covers. */
   readonly hosts: number;
-  readonly uses: ReadonlyMap<UpstreamId, EngineUse>;
+  readonly loads: ReadonlyMap<UpstreamId, EngineUse>;
 }
 
-/** Adds up what this host knows that it and its peers have on each engine. */
+/** Tracks the load that this host and its peers have in flight on each engine. */
 export class UseBook {
   private readonly own = new Map<UpstreamId, EngineUse>();
 
-  private readonly peers = new Map<HostId, PeerReport>();
+  private readonly reports = new Map<HostId, PeerReport>();
 
-  /** Adds to, or with negative figures takes from, what this host has on an engine. */
-  change(engine: UpstreamId, by: Partial<EngineUse>): void {
-    const use = this.own.get(engine) ?? NO_USE;
+  /** Adds to the load of this host on an engine; negative figures are subtracted, down to zero. */
+  change(engine: UpstreamId, delta: Partial<EngineUse>): void {
+    const load = this.own.get(engine) ?? NO_USE;
     const next: EngineUse = {
-      prefillTokens: Math.max(0, use.prefillTokens + (by.prefillTokens ?? 0)),
-      streams: Math.max(0, use.streams + (by.streams ?? 0)),
-      memoryTokens: Math.max(0, use.memoryTokens + (by.memoryTokens ?? 0)),
+      prefillTokens: Math.max(0, load.prefillTokens + (delta.prefillTokens ?? 0)),
+      streams: Math.max(0, load.streams + (delta.streams ?? 0)),
+      memoryTokens: Math.max(0, load.memoryTokens + (delta.memoryTokens ?? 0)),
     };
     const isEmpty = next.prefillTokens + next.streams + next.memoryTokens === 0;
     if (isEmpty) this.own.delete(engine);
     else this.own.set(engine, next);
   }
 
-  /** Takes in what a peer says that it has; it replaces what the peer said before. */
-  receive(peer: HostId, uses: ReadonlyMap<UpstreamId, EngineUse>, now: Millis): void {
-    this.peers.delete(ALL_PEERS);
-    this.peers.set(peer, { at: now, hosts: 1, uses });
+  /** Stores the report of one peer, in place of its previous one. */
+  receive(peer: HostId, loads: ReadonlyMap<UpstreamId, EngineUse>, now: Millis): void {
+    this.reports.delete(ALL_PEERS);
+    this.reports.set(peer, { at: now, hosts: 1, loads });
   }
 
-  /** Takes in what all peers together have; it replaces all that any of them said before. */
-  receiveSum(uses: ReadonlyMap<UpstreamId, EngineUse>, hosts: number, now: Millis): void {
-    this.peers.clear();
-    this.peers.set(ALL_PEERS, { at: now, hosts, uses });
+  /** Stores the sum over all peers, in place of all earlier reports. */
+  receiveSum(loads: ReadonlyMap<UpstreamId, EngineUse>, hosts: number, now: Millis): void {
+    this.reports.clear();
+    this.reports.set(ALL_PEERS, { at: now, hosts, loads });
   }
 
-  /** Gets how many hosts have said what they have, this one included. */
+  /** Gets how many hosts have reported so far, this one included. */
   getHostCount(): number {
-    return [...this.peers.values()].reduce((sum, hint) => sum + hint.hosts, 1);
+    return [...this.reports.values()].reduce((sum, report) => sum + report.hosts, 1);
   }
 
-  /** Gets what this host has on each engine, to be told to its peers. */
+  /** Gets the load of this host on each engine, as reported to its peers. */
   getOwn(): ReadonlyMap<UpstreamId, EngineUse> {
     return this.own;
   }
 
-  /** Gets what all hosts together have on an engine, as far as this host knows. */
+  /** Gets the load of all hosts on an engine, as far as this host knows. */
   getTotal(engine: UpstreamId, now: Millis): EngineUse {
     const own = this.own.get(engine) ?? NO_USE;
     return this.freshReports(now)
-      .map((hint) => hint.uses.get(engine) ?? NO_USE)
-      .reduce(addUse, own);
+      .map((report) => report.loads.get(engine) ?? NO_USE)
+      .reduce(sumLoads, own);
   }
 
-  /** Gets the prompts that wait at an engine, and how old the newest hint of them is. */
+  /** Gets the prompts that are waiting for prefill on an engine, and the age of the newest report. */
   getPromptQueue(engine: UpstreamId, now: Millis): PromptQueue {
-    const hints = this.freshReports(now).map(({ at, uses }) => ({
+    const reported = this.freshReports(now).map(({ at, loads }) => ({
       ageMs: now - at,
-      tokens: uses.get(engine)?.prefillTokens ?? 0,
+      tokens: loads.get(engine)?.prefillTokens ?? 0,
     }));
-    const queued = hints.filter(({ tokens }) => tokens > 0);
+    const queued = reported.filter(({ tokens }) => tokens > 0);
     return {
       own: this.own.get(engine)?.prefillTokens ?? 0,
       peers: queued.reduce((sum, { tokens }) => sum + tokens, 0),
@@ -103,12 +104,12 @@
   }
 
   private freshReports(now: Millis): readonly PeerReport[] {
-    const lifeMs = Math.max(LEAST_HINT_LIFE_MS, gossipPace(this.getHostCount()).silentMs);
-    return [...this.peers.values()].filter((hint) => now - hint.at <= lifeMs);
+    const ttlMs = Math.max(MIN_REPORT_TTL_MS, gossipPace(this.getHostCount()).silentMs);
+    return [...this.reports.values()].filter((report) => now - report.at <= ttlMs);
   }
 }
 
-function addUse(a: EngineUse, b: EngineUse): EngineUse {
+function sumLoads(a: EngineUse, b: EngineUse): EngineUse {
   return {
     prefillTokens: a.prefillTokens + b.prefillTokens,
     streams: a.streams + b.streams,
--- a/packages/decisions/src/local/HoldRanks.ts
+++ b/packages/decisions/src/local/HoldRanks.ts
@@ -1,21 +1,30 @@
-/** Requests with which one is compared: enough that chance moves a rank by a twentieth. */
-const COMPARED = 100;
+/** Recent requests that a rank is computed from; its sampling error is then about a twentieth. */
+const COMPARED_REQUESTS = 100;
 
-/** Requests that must have been seen before one is ranked. */
-const LEAST_SEEN = 16;
+/** Requests that must have been recorded before any is ranked. */
+const MIN_RECORDED = 16;
 
-/** Tells how much a request takes from the others, compared with what was asked lately. */
+/** Ranks requests by memory footprint among the recent ones of their pool. */
 export class HoldRanks {
-  private seen: readonly number[] = [];
+  private recent: readonly number[] = [];
 
-  /** Takes in a request by what it holds: its memory times how long. */
+  /**
+   * Records a request.
+   *
+   * @param memorySteps - Its footprint: memory times the output tokens for which it is held.
+   */
   note(memorySteps: number): void {
-    this.seen = [...this.seen.slice(1 - COMPARED), memorySteps];
+    this.recent = [...this.recent.slice(1 - COMPARED_REQUESTS), memorySteps];
   }
 
-  /** Gets the part of the requests that hold less; nothing while too few were seen. */
+  /**
+   * Gets the fraction of the recent requests that have a smaller footprint.
+   *
+   * @param memorySteps - Footprint of the request.
+   * @returns A fraction from 0 to 1; 0 while too few requests were recorded.
+   */
   rankOf(memorySteps: number): number {
-    if (this.seen.length < LEAST_SEEN) return 0;
-    return this.seen.filter((other) => other < memorySteps).length / this.seen.length;
+    if (this.recent.length < MIN_RECORDED) return 0;
+    return this.recent.filter((other) => other < memorySteps).length / this.recent.length;
   }
 }
--- a/packages/decisions/src/local/LocalPlacement.ts
+++ b/packages/decisions/src/local/LocalPlacement.ts
@@ -6,93 +6,94 @@
 import type { UseBook } from './EngineUse.ts';
 import type { SlowStart } from './SlowStart.ts';
 
-/** A request that asks for engines. */
+/** A request that needs engines. */
 export interface PlacementWish {
   readonly promptTokens: Tokens;
-  /** Memory that the request takes on average while it runs, in tokens. */
+  /** KV memory that the request holds on average while it runs, in tokens. */
   readonly memoryTokens: Tokens;
   /** Engines on which the request failed. */
   readonly avoid: readonly UpstreamId[];
-  /** Longest pause between events that is on time for streams of this pool; absent: any. */
+  /** Longest pause between the events of a stream of this pool that is on time; absent: any. */
   readonly longestPauseMs?: Millis;
 }
 
-/** The engines for a request; without a prefill engine the decode engine reads the prompt itself. */
+/** The engines chosen for a request. */
 export interface EnginePair {
+  /** Undefined where the decode engine does the prefill itself. */
   readonly prefill: UpstreamId | undefined;
   readonly decode: UpstreamId;
-  /** Milliseconds until the prompt is read, as expected. */
+  /** Expected time until the prefill has ended, in milliseconds, including the prompts ahead of it. */
   readonly readMs: Millis;
 }
 
-/** A decode engine that reads prompts does so at half the speed, between the tokens of others. */
-const DECODE_READ_FACTOR = 2;
+/** Factor by which a prefill takes longer on a decode engine, which interleaves it with decode steps. */
+const DECODE_PREFILL_FACTOR = 2;
 
 /**
- * What a transfer between zones is worth in waiting, in milliseconds: it takes twice as long as one
- * within a zone, and its bytes are paid for three times over.
+ * Cost of a KV transfer between zones, in milliseconds of waiting. It takes twice as long as a transfer
+ * within a zone, and its bytes cost three times as much.
  */
-const OTHER_ZONE_MS: Millis = 40;
+const CROSS_ZONE_COST_MS: Millis = 40;
 
-/**
- * What reading a prompt on a decode engine is worth in waiting, in milliseconds: its streams stand
- * still for as long as it reads.
- */
-const READ_AT_DECODE_MS: Millis = 120;
+/** Cost of a prefill on a decode engine, in milliseconds of waiting: it stalls the streams there. */
+const DECODE_PREFILL_COST_MS: Millis = 120;
 
 /**
- * Part of the pause that a stream may have which the reading of a prompt beside it may take. The rest
- * covers what the estimate misses, and the way to the caller.
+ * Fraction of the longest allowed pause of a stream that a prefill beside it may take. The rest covers
+ * the error of the estimate and the network path to the caller.
  */
-const PAUSE_PART = 0.9;
+const PAUSE_BUDGET_FRACTION = 0.9;
 
-/** What a full engine is worth in waiting, in milliseconds: steps grow longer as it fills. */
-const FULL_ENGINE_MS: Millis = 250;
+/** Cost of a full engine, in milliseconds of waiting: decode steps get longer as it fills. */
+const FULL_ENGINE_COST_MS: Millis = 250;
 
 /**
- * Part of an engine's memory that hosts fill. The rest covers what hosts that chose at the same
- * moment put there unseen; an engine that runs out preempts a running stream and reads it anew.
+ * Fraction of the memory of an engine that hosts fill. The rest covers requests that several hosts place
+ * at the same moment; an engine that runs out preempts a running stream and prefills it again.
  */
 export const MEMORY_PART = 0.95;
 
 /**
- * Hosts from which on engines are drawn by lot before the best is taken. On digests that are a little old
- * all would choose the engine that looked emptiest, and fill it together.
+ * Hosts from which on the best engine is chosen among a random sample. With digests that are slightly
+ * stale, all hosts would otherwise choose the engine that looked emptiest, and overfill it.
  */
-const DRAW_FROM_HOSTS = 20;
+const SAMPLING_MIN_HOSTS = 20;
 
-/** Engines of each role that are drawn. */
-const DRAWN = 3;
+/** Engines of each role in a sample. */
+const SAMPLE_SIZE = 3;
 
 interface PrefillOption {
   readonly cfg: EngineConfig;
-  readonly readMs: Millis;
+  /** Expected time until the prefill has ended, in milliseconds. */
+  readonly prefillMs: Millis;
 }
 
 interface DecodeOption {
   readonly cfg: EngineConfig;
-  readonly fill: number;
+  /** Fraction of the memory that is in use once the request has been placed. */
+  readonly memoryFill: number;
   readonly streams: number;
-  /** Whether a prompt is being read there already. */
-  readonly isReading: boolean;
+  /** Whether the engine has a prompt to prefill already. */
+  readonly isPrefilling: boolean;
 }
 
 interface Choice {
   readonly pair: EnginePair;
+  /** Expected wait plus the costs above, in milliseconds. */
   readonly cost: Millis;
 }
 
 /**
- * Chooses engines with what this host knows, without asking anybody.
+ * Chooses engines from what this host knows, without coordination.
  *
- * Made for hosts that may lose each other at any moment: each one places on its own, on what its
- * peers said within the last second. The pair with the least expected wait wins; a decode engine
- * reads the prompt itself where the prefill engines are taken or gone.
+ * Hosts can lose contact with each other at any time, so each one places requests by itself, based on
+ * what its peers reported within the last second. The pair of engines with the least expected wait is
+ * chosen; a decode engine does the prefill itself where the prefill engines are busy or gone.
  */
 export class LocalPlacement {
   private engines: readonly EngineConfig[] = [];
 
-  private names: readonly UpstreamId[] = [];
+  private engineIds: readonly UpstreamId[] = [];
 
   private readonly use: UseBook;
 
@@ -106,7 +107,7 @@
 
   /**
    * @param knowledge - What this host knows of the engines.
-   * @param random - Draws engines in large fleets.
+   * @param random - Samples engines in large fleets.
    */
   constructor({ use, health, moves, slowStart }: EngineKnowledge, random = new RandomSource(1)) {
     this.use = use;
@@ -116,13 +117,13 @@
     this.random = random;
   }
 
-  /** Takes a changed list of engines into force. */
+  /** Sets the engines to choose from. */
   reshape(engines: readonly EngineConfig[]): void {
     this.engines = engines;
-    this.names = engines.map(({ id }) => id);
+    this.engineIds = engines.map(({ id }) => id);
   }
 
-  /** Tells whether there is any engine that gives output. */
+  /** Gets whether there is any decode engine. */
   hasEngines(): boolean {
     return this.engines.some((engine) => engine.role === 'decode');
   }
@@ -130,135 +131,137 @@
   /**
    * Chooses engines for a request.
    *
-   * @param wish - The request.
+   * @param req - The request.
    * @param now - Present time.
    * @returns The engines, or undefined while no decode engine has room.
    */
-  choose(wish: PlacementWish, now: Millis): EnginePair | undefined {
-    const decodes = this.draw(this.decodes(wish, now));
-    const prefills = this.draw(this.prefills(wish, now));
-    const apart = decodes.flatMap((decode) =>
-      prefills.map((prefill) => apartChoice(prefill, decode)),
+  choose(req: PlacementWish, now: Millis): EnginePair | undefined {
+    const decodes = this.sample(this.decodeOptions(req, now));
+    const prefills = this.sample(this.prefillOptions(req, now));
+    const disaggregated = decodes.flatMap((decode) =>
+      prefills.map((prefill) => disaggregatedChoice(prefill, decode)),
     );
-    const direct = decodes
-      .filter((decode) => !decode.isReading)
-      .filter((decode) => prefills.length === 0 || this.mayRead(decode, wish))
-      .map((decode) => this.directChoice(decode, wish));
-    return [...apart, ...direct].reduce<Choice | undefined>(cheaper, undefined)?.pair;
+    const colocated = decodes
+      .filter((decode) => !decode.isPrefilling)
+      .filter((decode) => prefills.length === 0 || this.mayPrefill(decode, req))
+      .map((decode) => this.colocatedChoice(decode, req));
+    return [...disaggregated, ...colocated].reduce<Choice | undefined>(cheaper, undefined)?.pair;
   }
 
   /**
-   * Chooses a decode engine for a prompt that is read already.
+   * Chooses a decode engine for a request whose prefill has ended.
    *
-   * @param wish - The request.
-   * @param prefill - Engine that holds the prompt's memory.
+   * @param req - The request.
+   * @param prefill - Engine that holds the KV memory of the prompt; undefined where there was none.
    * @param now - Present time.
-   * @returns The engine, or undefined where none has room.
+   * @returns The decode engine, or undefined where none has room.
    */
   chooseDecode(
-    wish: PlacementWish,
+    req: PlacementWish,
     prefill: UpstreamId | undefined,
     now: Millis,
   ): UpstreamId | undefined {
     const cfg = this.engines.find((engine) => engine.id === prefill);
-    const source = cfg === undefined ? undefined : { cfg, readMs: 0 };
-    return this.decodes(wish, now)
+    const source = cfg === undefined ? undefined : { cfg, prefillMs: 0 };
+    return this.decodeOptions(req, now)
       .map((decode) =>
-        source === undefined ? this.directChoice(decode, wish) : apartChoice(source, decode),
+        source === undefined
+          ? this.colocatedChoice(decode, req)
+          : disaggregatedChoice(source, decode),
       )
       .reduce<Choice | undefined>(cheaper, undefined)?.pair.decode;
   }
 
-  /** Gets the time in which idle engines would read the prompt. */
-  idleReadMs(wish: PlacementWish, pair: EnginePair): Millis {
-    const ms = this.readMs(pair.prefill ?? pair.decode, wish.promptTokens);
-    return pair.prefill === undefined ? ms * DECODE_READ_FACTOR : ms;
+  /** Estimates the time that the prefill of a request would take if the chosen engines were idle. */
+  idleReadMs(req: PlacementWish, pair: EnginePair): Millis {
+    const ms = this.prefillMs(pair.prefill ?? pair.decode, req.promptTokens);
+    return pair.prefill === undefined ? ms * DECODE_PREFILL_FACTOR : ms;
   }
 
-  private draw<T>(all: readonly T[]): readonly T[] {
-    if (this.use.getHostCount() < DRAW_FROM_HOSTS || all.length <= DRAWN) return all;
+  private sample<T>(all: readonly T[]): readonly T[] {
+    if (this.use.getHostCount() < SAMPLING_MIN_HOSTS || all.length <= SAMPLE_SIZE) return all;
     return all
-      .map((one) => ({ one, lot: this.random.next() }))
-      .sort((a, b) => a.lot - b.lot)
-      .slice(0, DRAWN)
-      .map(({ one }) => one);
+      .map((option) => ({ option, sortKey: this.random.next() }))
+      .sort((a, b) => a.sortKey - b.sortKey)
+      .slice(0, SAMPLE_SIZE)
+      .map(({ option }) => option);
   }
 
   /**
-   * Tells whether a decode engine may read a prompt without making its streams late.
+   * Gets whether a decode engine can do the prefill without making its streams late.
    *
-   * While it reads, its other streams get a token for each chunk only, so an event of theirs takes as
-   * long as the reading on top of its usual time. One request that is read sooner can make all of them
-   * late.
+   * Its streams get one token per prefill chunk, so an event of theirs is delayed by the whole prefill:
+   * one request that starts sooner could make all of them late.
    */
-  private mayRead({ cfg, streams }: DecodeOption, wish: PlacementWish): boolean {
+  private mayPrefill({ cfg, streams }: DecodeOption, req: PlacementWish): boolean {
     if (streams === 0) return true;
-    const { longestPauseMs = Infinity } = wish;
-    const tokenMs = this.health.tokenMs(cfg.id, this.names) ?? 0;
+    const { longestPauseMs = Infinity } = req;
+    const tokenMs = this.health.tokenMs(cfg.id, this.engineIds) ?? 0;
     const eventMs = tokenMs * (cfg.eventTokens ?? 1);
-    const readMs = this.readMs(cfg.id, wish.promptTokens) * DECODE_READ_FACTOR;
-    return readMs + eventMs <= longestPauseMs * PAUSE_PART;
+    const prefillMs = this.prefillMs(cfg.id, req.promptTokens) * DECODE_PREFILL_FACTOR;
+    return prefillMs + eventMs <= longestPauseMs * PAUSE_BUDGET_FRACTION;
   }
 
-  private readMs(engine: UpstreamId, tokens: Tokens): Millis {
-    return this.health.readMs(engine, tokens, this.names);
+  private prefillMs(engine: UpstreamId, tokens: Tokens): Millis {
+    return this.health.readMs(engine, tokens, this.engineIds);
   }
 
-  private directChoice({ cfg, fill }: DecodeOption, wish: PlacementWish): Choice {
-    const readMs = this.readMs(cfg.id, wish.promptTokens) * DECODE_READ_FACTOR;
+  private colocatedChoice({ cfg, memoryFill }: DecodeOption, req: PlacementWish): Choice {
+    const readMs = this.prefillMs(cfg.id, req.promptTokens) * DECODE_PREFILL_FACTOR;
     return {
       pair: { prefill: undefined, decode: cfg.id, readMs },
-      cost: readMs + READ_AT_DECODE_MS + fill * FULL_ENGINE_MS,
+      cost: readMs + DECODE_PREFILL_COST_MS + memoryFill * FULL_ENGINE_COST_MS,
     };
   }
 
-  private prefills(wish: PlacementWish, now: Millis): readonly PrefillOption[] {
-    return this.usable('prefill', wish, now).map((cfg) => {
-      const readMs = this.queueMs(cfg.id, now) + this.readMs(cfg.id, wish.promptTokens);
-      return { cfg, readMs };
+  private prefillOptions(req: PlacementWish, now: Millis): readonly PrefillOption[] {
+    return this.usableEngines('prefill', req, now).map((cfg) => {
+      const prefillMs = this.backlogMs(cfg.id, now) + this.prefillMs(cfg.id, req.promptTokens);
+      return { cfg, prefillMs };
     });
   }
 
   /**
-   * Gets the time until an engine has read the prompts that are there.
+   * Estimates the time until an engine has prefilled the prompts dispatched to it.
    *
-   * It goes on reading while the hints of peers are on their way: without their age, prompts that were
-   * read long since keep this host away from idle engines.
+   * The age of the reports of peers is subtracted, since the engine has gone on meanwhile: prompts that
+   * were prefilled long ago would otherwise keep this host away from idle engines.
    */
-  private queueMs(engine: UpstreamId, now: Millis): Millis {
+  private backlogMs(engine: UpstreamId, now: Millis): Millis {
     const { own, peers, peersAgeMs } = this.use.getPromptQueue(engine, now);
-    const peersMs = peers === 0 ? 0 : Math.max(0, this.readMs(engine, peers) - peersAgeMs);
-    return (own === 0 ? 0 : this.readMs(engine, own)) + peersMs;
+    const peersMs = peers === 0 ? 0 : Math.max(0, this.prefillMs(engine, peers) - peersAgeMs);
+    return (own === 0 ? 0 : this.prefillMs(engine, own)) + peersMs;
   }
 
-  /** Gets the decode engines with room for the whole request. */
-  private decodes(wish: PlacementWish, now: Millis): readonly DecodeOption[] {
-    return this.usable('decode', wish, now)
-      .map((cfg) => ({ cfg, use: this.use.getTotal(cfg.id, now) }))
-      .filter(({ cfg, use }) => use.streams < (cfg.slots ?? Infinity))
-      .map(({ cfg, use }) => ({
+  /** Gets the decode engines with a free slot and memory for the request. */
+  private decodeOptions(req: PlacementWish, now: Millis): readonly DecodeOption[] {
+    return this.usableEngines('decode', req, now)
+      .map((cfg) => ({ cfg, load: this.use.getTotal(cfg.id, now) }))
+      .filter(({ cfg, load }) => load.streams < (cfg.slots ?? Infinity))
+      .map(({ cfg, load }) => ({
         cfg,
-        fill: (use.memoryTokens + wish.memoryTokens) / (cfg.memoryPieces * TOKENS_PER_PIECE),
-        streams: use.streams,
-        isReading: use.prefillTokens > 0,
+        memoryFill: (load.memoryTokens + req.memoryTokens) / (cfg.memoryPieces * TOKENS_PER_PIECE),
+        streams: load.streams,
+        isPrefilling: load.prefillTokens > 0,
       }))
-      .filter(({ fill }) => fill <= MEMORY_PART);
+      .filter(({ memoryFill }) => memoryFill <= MEMORY_PART);
   }
 
   /**
-   * Gets the engines of a role; those that failed lately only where no other is there, and none that
-   * changes its role, is being probed, or has just started and gets no more for now.
+   * Gets the engines of a role that may be used. Those in back-off after a failure are left out while
+   * there are others; those that are suspected, change their role or have used up their slow-start quota
+   * are always left out.
    */
-  private usable(
+  private usableEngines(
     role: EngineConfig['role'],
-    wish: PlacementWish,
+    req: PlacementWish,
     now: Millis,
   ): readonly EngineConfig[] {
-    const all = this.engines.filter(
-      ({ id, role: own }) => own === role && !wish.avoid.includes(id) && this.isUsable(id, now),
+    const usable = this.engines.filter(
+      ({ id, role: own }) => own === role && !req.avoid.includes(id) && this.isUsable(id, now),
     );
-    const rested = all.filter((cfg) => !this.health.isResting(cfg.id, now));
-    return rested.length > 0 ? rested : all;
+    const healthy = usable.filter((cfg) => !this.health.isResting(cfg.id, now));
+    return healthy.length > 0 ? healthy : usable;
   }
 
   private isUsable(id: UpstreamId, now: Millis): boolean {
@@ -267,11 +270,11 @@
   }
 }
 
-function apartChoice(prefill: PrefillOption, decode: DecodeOption): Choice {
-  const zoneMs = prefill.cfg.zone === decode.cfg.zone ? 0 : OTHER_ZONE_MS;
+function disaggregatedChoice(prefill: PrefillOption, decode: DecodeOption): Choice {
+  const zoneCostMs = prefill.cfg.zone === decode.cfg.zone ? 0 : CROSS_ZONE_COST_MS;
   return {
-    pair: { prefill: prefill.cfg.id, decode: decode.cfg.id, readMs: prefill.readMs },
-    cost: prefill.readMs + zoneMs + decode.fill * FULL_ENGINE_MS,
+    pair: { prefill: prefill.cfg.id, decode: decode.cfg.id, readMs: prefill.prefillMs },
+    cost: prefill.prefillMs + zoneCostMs + decode.memoryFill * FULL_ENGINE_COST_MS,
   };
 }
 
--- a/packages/decisions/src/local/LocalQueue.ts
+++ b/packages/decisions/src/local/LocalQueue.ts
@@ -9,84 +9,83 @@
   readonly team: TeamId;
   /** Lower goes first. */
   readonly priority: number;
-  /** Its memory times the output tokens for which it holds it. */
+  /** Memory footprint: memory times the output tokens for which it is held. */
   readonly memorySteps: number;
-  /** Time at which it came. */
+  /** Time at which the request was submitted. */
   readonly since: Millis;
-  /** Time after which its first token can't be on time any more. */
+  /** Time after which the first token can't meet its target any more. */
   readonly lateAt: Millis;
-  /** Time at which the request is refused if it has no engines by then. */
+  /** Time at which the request is refused unless it was placed before. */
   readonly giveUpAt: Millis;
 }
 
-/** A request with what it holds compared with others. */
-interface RankedWish extends QueuedWish {
-  /** Part of the requests before it that hold less. */
+/** A waiting request with the rank of its memory footprint. */
+interface RankedRequest extends QueuedWish {
+  /** Fraction of the recent requests with a smaller footprint. */
   readonly rank: number;
 }
 
-/** What a request waits for: room at a decode engine, the reading of a prompt, or those before it. */
+/** What a request waits for: memory on a decode engine, a free prefill engine, or requests before it. */
 export type Lack = 'room' | 'reading' | 'turn';
 
-/** What the queue decided for a request. */
+/** A decision of the queue on one request. */
 export type QueueDecision =
   | {
       readonly type: 'place';
       readonly request: RequestId;
       readonly pair: EnginePair;
-      /** What it waited for last; undefined where it did not wait. */
+      /** What the request waited for last; undefined where it did not wait. */
       readonly lacked: Lack | undefined;
     }
   | { readonly type: 'refuse'; readonly request: RequestId; readonly refusal: Refusal };
 
 /**
- * Longest time in which a prompt that is sent now should be read, in milliseconds. Prompts wait here
- * and not at an engine, where a more urgent one could not pass them, and where they would still be
- * read after their caller has left.
+ * Longest expected prefill time of a request that is dispatched, in milliseconds. Longer backlogs wait
+ * here: at an engine an urgent request could not pass them, and abandoned prompts would still be
+ * prefilled.
  */
-const MAX_READ_MS: Millis = 350;
+const MAX_PREFILL_MS: Millis = 350;
 
-/** Milliseconds by which the reading of a late prompt may be longer than on an idle engine. */
-const LATE_READ_MARGIN_MS: Millis = 60;
+/** Milliseconds by which the prefill of a late request may take longer than on an idle engine. */
+const LATE_PREFILL_MARGIN_MS: Millis = 60;
 
 /**
- * Part of its patience for which the request that holds most lets others pass. The rest is left for it
- * to find room in, so that large requests are served less often under overload, but not starved.
+ * Fraction of its time to the target for which the request with the largest footprint yields to others.
+ * In the rest it can find room, so that under overload large requests are served less often, but are not
+ * starved.
  */
-const LET_PASS_PART = 0.8;
+const YIELD_FRACTION = 0.8;
 
-/** Requests that wait at most; more could not be served before their callers leave. */
-const MAX_WAITING = 512;
+/** Longest queue, in requests; more could not be served before their callers leave. */
+const MAX_QUEUE_LENGTH = 512;
 
-/** Milliseconds after which a refused caller may try: the length of a short burst's tail. */
+/** Milliseconds after which a refused caller may retry: the time to work off a short burst. */
 const RETRY_AFTER_MS: Millis = 1_000;
 
-/** Milliseconds between two looks at the engines while requests wait: a tenth of a prefill. */
+/** Milliseconds between two scheduling passes while requests wait; a tenth of a prefill. */
 export const QUEUE_RECHECK_MS: Millis = 10;
 
 /**
- * Requests of one pool that wait on this host for engines.
+ * The requests of one pool that wait on this host for engines.
  *
- * Made for bursts: while no engine has room, the most urgent request of the team with the fewest
- * running ones goes first, so that one team's burst delays mostly itself. A request that can't be on
- * time any more lets all others pass: served in order of arrival, one burst would make everybody late
- * for as long as it lasts. It lets those on other hosts pass too: room on the engines is everybody's,
- * and where each host goes by its own queue alone, a late request on one takes what would have made
- * another host's be on time. It takes engines that nobody else wants, until its caller would have left.
+ * The most urgent request of the team with the fewest running requests goes first, so that the burst of
+ * one team delays mostly that team. A request that is already late yields to all that can still meet their
+ * target, also to those on other hosts; in order of arrival, one burst would make every request late for
+ * as long as it lasts. Late requests use capacity that nobody else wants, until their callers would leave.
  *
- * While more wait than there is room for, what holds little memory for a short time goes first: the
- * same memory serves several short answers in the time of one long one. How long a request lets others
- * pass follows from how many of those that wait are likely to hold less than it does.
+ * Among requests on time, those with a small memory footprint go first: the memory of one long answer
+ * serves several short ones in the same time. How long a request yields depends on how many of the waiting
+ * ones are likely to have a smaller footprint.
  */
 export class LocalQueue {
   private readonly placement: LocalPlacement;
 
   private readonly runningByTeam = new Map<TeamId, number>();
 
-  private waiting: readonly RankedWish[] = [];
+  private waiting: readonly RankedRequest[] = [];
 
-  /** What those who wait have waited for last. */
-  private readonly lacks = new Map<RequestId, Lack>();
+  /** What each waiting request has waited for last. */
+  private readonly waitReasons = new Map<RequestId, Lack>();
 
   private readonly ranks = new HoldRanks();
 
@@ -94,116 +93,122 @@
 
   /**
    * @param placement - Chooses engines.
-   * @param peersOnTime - Gets how many requests wait on other hosts and can still be on time.
+   * @param peersOnTime - Counts the requests that wait on other hosts and can still meet their target.
    */
   constructor(placement: LocalPlacement, peersOnTime: (now: Millis) => number = () => 0) {
     this.placement = placement;
     this.peersOnTime = peersOnTime;
   }
 
-  /** Gets how many requests wait. */
+  /** Gets the number of waiting requests. */
   get size(): number {
     return this.waiting.length;
   }
 
-  /** Counts the requests that wait and can still be on time, to be told to peers. */
+  /** Counts the waiting requests that can still meet their target, as reported to peers. */
   countOnTime(now: Millis): number {
-    return this.waiting.filter((wish) => wish.lateAt > now).length;
+    return this.waiting.filter((req) => req.lateAt > now).length;
   }
 
-  /** Puts a request into the queue, or refuses it at once. */
-  submit(wish: QueuedWish): Refusal | undefined {
+  /**
+   * Enqueues a request.
+   *
+   * @param req - The request.
+   * @returns The refusal, where there is no engine or the queue is full; undefined otherwise.
+   */
+  submit(req: QueuedWish): Refusal | undefined {
     if (!this.placement.hasEngines()) {
       return notRun('no_capacity', 'No engine of this model is known.', RETRY_AFTER_MS);
     }
-    if (this.waiting.length >= MAX_WAITING) {
+    if (this.waiting.length >= MAX_QUEUE_LENGTH) {
       return notRun('queue_full', 'Too many requests wait for this model.', RETRY_AFTER_MS);
     }
-    this.waiting = [...this.waiting, { ...wish, rank: this.ranks.rankOf(wish.memorySteps) }];
-    this.ranks.note(wish.memorySteps);
+    this.waiting = [...this.waiting, { ...req, rank: this.ranks.rankOf(req.memorySteps) }];
+    this.ranks.note(req.memorySteps);
     return undefined;
   }
 
-  /** Takes a request out, because its caller has gone. */
+  /** Removes a waiting request; unknown ones are ignored. */
   withdraw(request: RequestId): void {
-    this.waiting = this.waiting.filter((wish) => wish.request !== request);
-    this.lacks.delete(request);
+    this.waiting = this.waiting.filter((req) => req.request !== request);
+    this.waitReasons.delete(request);
   }
 
-  /** Notes that a placed request has ended. */
+  /** Records that a placed request of a team has ended. */
   ended(team: TeamId): void {
-    const left = (this.runningByTeam.get(team) ?? 1) - 1;
-    if (left > 0) this.runningByTeam.set(team, left);
+    const remaining = (this.runningByTeam.get(team) ?? 1) - 1;
+    if (remaining > 0) this.runningByTeam.set(team, remaining);
     else this.runningByTeam.delete(team);
   }
 
   /**
-   * Gets the next decision that is due.
+   * Gets the next decision that is due. The caller applies it to the load of the engines before the next
+   * call.
    *
    * @param now - Present time.
-   * @returns The decision; undefined where all who wait go on waiting. The caller notes the use of
-   *   the engines before it asks again.
+   * @returns The decision; undefined while all requests go on waiting.
    */
   next(now: Millis): QueueDecision | undefined {
-    const late = this.waiting.find((wish) => wish.giveUpAt <= now);
-    if (late !== undefined) {
-      this.withdraw(late.request);
+    const expired = this.waiting.find((req) => req.giveUpAt <= now);
+    if (expired !== undefined) {
+      this.withdraw(expired.request);
       const refusal = notRun('target_missed', 'No engine became free in time.', RETRY_AFTER_MS);
-      return { type: 'refuse', request: late.request, refusal };
+      return { type: 'refuse', request: expired.request, refusal };
     }
     const [first] = [...this.waiting].sort((a, b) => this.compare(a, b, now));
     if (first === undefined) return undefined;
-    if (this.letsOthersPass(first, now)) {
-      this.noteLacks(first, 'turn');
+    if (this.yieldsToPeers(first, now)) {
+      this.recordWaitReasons(first, 'turn');
       return undefined;
     }
     const pair = this.placement.choose(first, now);
-    if (pair === undefined || pair.readMs > this.allowedReadMs(first, pair, now)) {
-      this.noteLacks(first, pair === undefined ? 'room' : 'reading');
+    if (pair === undefined || pair.readMs > this.maxPrefillMs(first, pair, now)) {
+      this.recordWaitReasons(first, pair === undefined ? 'room' : 'reading');
       return undefined;
     }
-    const lacked = this.lacks.get(first.request);
+    const lacked = this.waitReasons.get(first.request);
     this.withdraw(first.request);
     this.runningByTeam.set(first.team, (this.runningByTeam.get(first.team) ?? 0) + 1);
     return { type: 'place', request: first.request, pair, lacked };
   }
 
-  /** Tells whether a request leaves free room to those that wait on other hosts. */
-  private letsOthersPass(wish: RankedWish, now: Millis): boolean {
-    const others = this.peersOnTime(now);
-    if (wish.lateAt <= now) return others > 0;
-    const lighterOthers = wish.rank * others;
-    return lighterOthers >= 1 && waitedPart(wish, now) < wish.rank * LET_PASS_PART;
+  /** Gets whether a request leaves free capacity to the requests that wait on other hosts. */
+  private yieldsToPeers(req: RankedRequest, now: Millis): boolean {
+    const peersOnTime = this.peersOnTime(now);
+    if (req.lateAt <= now) return peersOnTime > 0;
+    const smallerOnPeers = req.rank * peersOnTime;
+    return smallerOnPeers >= 1 && waitedFraction(req, now) < req.rank * YIELD_FRACTION;
   }
 
-  private noteLacks(first: QueuedWish, lack: Lack): void {
+  private recordWaitReasons(first: QueuedWish, reason: Lack): void {
     this.waiting.forEach(({ request }) => {
-      if (request === first.request) this.lacks.set(request, lack);
-      else if (!this.lacks.has(request)) this.lacks.set(request, 'turn');
+      if (request === first.request) this.waitReasons.set(request, reason);
+      else if (!this.waitReasons.has(request)) this.waitReasons.set(request, 'turn');
     });
   }
 
-  /** A prompt that takes longer than the bound on an idle engine is not held back for its size. */
-  private allowedReadMs(wish: QueuedWish, pair: EnginePair, now: Millis): Millis {
-    const idleMs = this.placement.idleReadMs(wish, pair) + LATE_READ_MARGIN_MS;
-    return now >= wish.lateAt ? idleMs : Math.max(MAX_READ_MS, idleMs);
+  /** A prompt that exceeds the bound even on an idle engine is not held back for its size. */
+  private maxPrefillMs(req: QueuedWish, pair: EnginePair, now: Millis): Millis {
+    const idleMs = this.placement.idleReadMs(req, pair) + LATE_PREFILL_MARGIN_MS;
+    return now >= req.lateAt ? idleMs : Math.max(MAX_PREFILL_MS, idleMs);
   }
 
-  private compare(a: RankedWish, b: RankedWish, now: Millis): number {
-    const late = Number(a.lateAt <= now) - Number(b.lateAt <= now);
-    if (late !== 0) return late;
+  /** Orders requests by lateness, priority, running requests of the team, and footprint. */
+  private compare(a: RankedRequest, b: RankedRequest, now: Millis): number {
+    const byLateness = Number(a.lateAt <= now) - Number(b.lateAt <= now);
+    if (byLateness !== 0) return byLateness;
     if (a.priority !== b.priority) return a.priority - b.priority;
-    const running = (wish: RankedWish): number => this.runningByTeam.get(wish.team) ?? 0;
-    return running(a) - running(b) || order(a, now) - order(b, now);
+    const running = (req: RankedRequest): number => this.runningByTeam.get(req.team) ?? 0;
+    return running(a) - running(b) || footprintKey(a, now) - footprintKey(b, now);
   }
 }
 
-/** The order of requests on time: those that hold little first, but each in the end. */
-function order(wish: RankedWish, now: Millis): number {
-  return wish.rank * LET_PASS_PART - waitedPart(wish, now);
+/** Sort key by footprint, lower first; it falls with the time waited, so that no request is starved. */
+function footprintKey(req: RankedRequest, now: Millis): number {
+  return req.rank * YIELD_FRACTION - waitedFraction(req, now);
 }
 
-/** Gets the part that has passed of the time in which a request can be on time. */
-function waitedPart({ since, lateAt }: QueuedWish, now: Millis): number {
+/** Gets which fraction of the time from submission to the target has passed. */
+function waitedFraction({ since, lateAt }: QueuedWish, now: Millis): number {
   return (now - since) / Math.max(1, lateAt - since);
 }
--- a/packages/decisions/src/local/PeerCounts.ts
+++ b/packages/decisions/src/local/PeerCounts.ts
@@ -1,49 +1,49 @@
 import type { HostId, Millis } from '@camphorvane/core';
 
-/** Name under which the sum of all peers is kept where it comes as one. */
+/** Key of the sum over all peers, where a relay reports it in their stead. */
 const ALL_PEERS = '';
 
 interface PeerReport {
   readonly at: Millis;
-  /** Peers that this hint is of. */
+  /** Peers that the report covers. */
   readonly peers: number;
   readonly counts: ReadonlyMap<string, number>;
 }
 
-/** Knows what peers count by some name, for as long as their hints are fresh. */
+/** Keeps the counters that peers report, by name, and drops reports that are too old. */
 export class PeerCounts {
-  private readonly hints = new Map<HostId, PeerReport>();
+  private readonly reports = new Map<HostId, PeerReport>();
 
-  private readonly lifeMs: Millis;
+  private readonly ttlMs: Millis;
 
-  /** @param lifeMs - Milliseconds for which a hint counts. */
-  constructor(lifeMs: Millis) {
-    this.lifeMs = lifeMs;
+  /** @param ttlMs - Lifetime of a report, in milliseconds. */
+  constructor(ttlMs: Millis) {
+    this.ttlMs = ttlMs;
   }
 
-  /** Takes in what a peer counts; it replaces what it said before. */
+  /** Stores the counters of one peer, in place of its previous ones. */
   receive(peer: HostId, counts: ReadonlyMap<string, number>, now: Millis): void {
-    this.hints.delete(ALL_PEERS);
-    this.hints.set(peer, { at: now, peers: 1, counts });
+    this.reports.delete(ALL_PEERS);
+    this.reports.set(peer, { at: now, peers: 1, counts });
   }
 
-  /** Takes in what so many peers count together; it replaces all that any of them said. */
+  /** Stores the sums over several peers, in place of all earlier reports. */
   receiveSum(counts: ReadonlyMap<string, number>, peers: number, now: Millis): void {
-    this.hints.clear();
-    this.hints.set(ALL_PEERS, { at: now, peers, counts });
+    this.reports.clear();
+    this.reports.set(ALL_PEERS, { at: now, peers, counts });
   }
 
-  /** Gets what all peers count together that were heard lately. */
+  /** Gets the sum of a counter over the peers that reported lately. */
   sum(name: string, now: Millis): number {
     return this.fresh(now).reduce((sum, { counts }) => sum + (counts.get(name) ?? 0), 0);
   }
 
-  /** Gets how many peers were heard lately. */
+  /** Gets how many peers reported lately. */
   heard(now: Millis): number {
     return this.fresh(now).reduce((sum, { peers }) => sum + peers, 0);
   }
 
   private fresh(now: Millis): readonly PeerReport[] {
-    return [...this.hints.values()].filter(({ at }) => now - at <= this.lifeMs);
+    return [...this.reports.values()].filter(({ at }) => now - at <= this.ttlMs);
   }
 }
--- a/packages/decisions/src/local/gossipPace.ts
+++ b/packages/decisions/src/local/gossipPace.ts
@@ -1,108 +1,110 @@
 import type { Millis } from '@camphorvane/core';
 import { SERVING_PART } from './isServing.ts';
 
-/** Periods of gossip, and the timeouts that follow from them. */
+/** Periods of gossip and of store access, and the timeouts that follow from them. */
 export interface GossipPace {
-  /** Whether hints go through a few relaying hosts, which pass on sums of them. */
+  /** Whether gossip goes through a few relays, which pass on digests of it, instead of a full mesh. */
   readonly isRelayed: boolean;
-  /** Longest time between two hints of a host that takes callers, in milliseconds. */
+  /** Longest time between two gossip messages of a serving host, in milliseconds. */
   readonly periodMs: Millis;
-  /** Longest time between two hints of a host that stands by, in milliseconds. */
+  /** Longest time between two gossip messages of a standby host, in milliseconds. */
   readonly standbyPeriodMs: Millis;
-  /** Shortest time between two hints where there is news, in milliseconds. */
+  /** Shortest time between two gossip messages of a host whose state has changed, in milliseconds. */
   readonly gapMs: Millis;
-  /** Milliseconds between two digests of a relaying host for a host that takes callers. */
+  /** Milliseconds between two digests of a relay for a serving host. */
   readonly digestMs: Millis;
-  /** Milliseconds between two digests of a relaying host for a host that stands by. */
+  /** Milliseconds between two digests of a relay for a standby host. */
   readonly standbyDigestMs: Millis;
-  /** Milliseconds without a hint or a digest after which what it said does not count any more. */
+  /** Milliseconds without a gossip message or digest after which the last one is discarded. */
   readonly silentMs: Millis;
-  /** Milliseconds between two writes of a host's record in the store. */
+  /** Milliseconds between two writes of the record of a host in the store. */
   readonly recordMs: Millis;
-  /** Milliseconds between two cheap reads of all records. */
+  /** Milliseconds between two reads of all records, which may be slightly stale. */
   readonly recordReadMs: Millis;
-  /** Milliseconds between two cheap reads of the configuration, and of the servers. */
+  /** Milliseconds between two reads of the configuration, or of the servers, which may be slightly stale. */
   readonly pollMs: Millis;
 }
 
-/** Hosts up to which each sends hints to all others; their number grows with the square of the fleet. */
-const FULL_MESH_UP_TO = 9;
+/** Largest fleet with a full mesh, in hosts; its messages grow with the square of the fleet. */
+const FULL_MESH_MAX_HOSTS = 9;
 
-/** Longest and shortest time between two hints of a host in a full mesh. */
-const SMALL_PERIOD_MS: Millis = 200;
-const SMALL_GAP_MS: Millis = 40;
+/** Longest and shortest time between two gossip messages of a host in a full mesh. */
+const FULL_MESH_PERIOD_MS: Millis = 200;
+const FULL_MESH_GAP_MS: Millis = 40;
 
-/** Hints in a second that a relaying host takes in where there is no news. */
-const HINTS_PER_SECOND = 120;
+/** Gossip messages per second that a relay receives while no host has changes to report. */
+const RELAY_MESSAGES_PER_SECOND = 120;
 
-/** Shortest time between two hints where there is news, so that a burst does not cost a hint a request. */
+/** Shortest time between two messages to relays, so that a burst does not send one for each request. */
 const RELAYED_GAP_MS: Millis = 60;
 
-/** Digests in a second that all relaying hosts send together to those that take callers. */
+/** Digests per second that all relays together send to serving hosts. */
 const DIGESTS_PER_SECOND = 500;
 
-const LEAST_DIGEST_MS: Millis = 100;
+const MIN_DIGEST_MS: Millis = 100;
 
-/** A host that stands by has no request to place, and needs only to know who is there. */
-const LEAST_STANDBY_DIGEST_MS: Millis = 500;
+/** Longer than for serving hosts: a standby host places no requests and needs only the membership. */
+const MIN_STANDBY_DIGEST_MS: Millis = 500;
 
-/** Factor by which hosts that stand by send hints less often. */
+/** Factor by which the gossip period of standby hosts is longer. */
 const STANDBY_SLOWDOWN = 2;
 
-const LEAST_PERIOD_MS: Millis = 300;
+const MIN_RELAYED_PERIOD_MS: Millis = 300;
+const MAX_RELAYED_PERIOD_MS: Millis = 3_000;
 
-const LONGEST_PERIOD_MS: Millis = 3_000;
+/** Periods without a message after which a host times out: two lost messages are no sign of a crash. */
+const TIMEOUT_PERIODS = 3;
 
-/** Periods without a hint that make a host silent: two lost hints are no sign of death. */
-const SILENT_PERIODS = 3;
-
-/** What a hint may be late by, beyond its periods. */
-const SILENT_MARGIN_MS: Millis = 200;
+/** Delay of a message that is tolerated on top of those periods. */
+const TIMEOUT_MARGIN_MS: Millis = 200;
 
 /**
- * Records that all hosts together write in a second. Hints show which hosts are up; the records say who
- * shares the rates, which changes seldom.
+ * Records per second that all hosts together write. Few, since gossip shows which hosts are up, and the
+ * records only which hosts share the rates.
  */
-const RECORDS_PER_SECOND = 1.5;
+const RECORD_WRITES_PER_SECOND = 1.5;
 
-const LEAST_RECORD_MS: Millis = 3_000;
-const LONGEST_RECORD_MS: Millis = 60_000;
+const MIN_RECORD_MS: Millis = 3_000;
+const MAX_RECORD_MS: Millis = 60_000;
 
-/** Times in a second at which any host reads all records; a new host is found so. */
+/** Reads of all records per second, over all hosts; new hosts are discovered by them. */
 const RECORD_READS_PER_SECOND = 12;
 
-const LEAST_RECORD_READ_MS: Millis = 1_000;
-const LONGEST_RECORD_READ_MS: Millis = 7_000;
+const MIN_RECORD_READ_MS: Millis = 1_000;
+const MAX_RECORD_READ_MS: Millis = 7_000;
 
-/** Times in a second at which any host reads the configuration, or the servers, unasked. */
+/** Reads of the configuration, or of the servers, per second, over all hosts. */
 const POLLS_PER_SECOND = 10;
 
-const LEAST_POLL_MS: Millis = 2_000;
-const LONGEST_POLL_MS: Millis = 10_000;
+const MIN_POLL_MS: Millis = 2_000;
+const MAX_POLL_MS: Millis = 10_000;
 
 const MS_PER_SECOND = 1_000;
 
 /**
- * Gets how often hosts speak in a fleet of a size, so that what each spends on it stays the same.
+ * Gets the periods for a fleet of a given size. They grow with the fleet, so that each host spends the
+ * same on gossip and store access.
  *
- * @param hosts - Hosts of the fleet.
- * @returns The pace.
+ * @param hosts - Number of hosts in the fleet.
+ * @returns Periods and timeouts.
  */
 export function gossipPace(hosts: number): GossipPace {
-  const isRelayed = hosts > FULL_MESH_UP_TO;
-  const gapMs = isRelayed ? RELAYED_GAP_MS : SMALL_GAP_MS;
+  const isRelayed = hosts > FULL_MESH_MAX_HOSTS;
+  const gapMs = isRelayed ? RELAYED_GAP_MS : FULL_MESH_GAP_MS;
   const servingHosts = hosts * SERVING_PART;
-  const periodMs = isRelayed ? relayedPeriodMs(servingHosts) : SMALL_PERIOD_MS;
-  const standbyPeriodMs = isRelayed ? relayedPeriodMs(hosts * STANDBY_SLOWDOWN) : SMALL_PERIOD_MS;
-  const digestMs = Math.max(LEAST_DIGEST_MS, everyMs(servingHosts, DIGESTS_PER_SECOND));
-  const standbyDigestMs = Math.max(LEAST_STANDBY_DIGEST_MS, everyMs(hosts, DIGESTS_PER_SECOND));
-  const recordMs = within(LEAST_RECORD_MS, everyMs(hosts, RECORDS_PER_SECOND), LONGEST_RECORD_MS);
-  const recordReadMs = within(
-    LEAST_RECORD_READ_MS,
-    everyMs(hosts, RECORD_READS_PER_SECOND),
-    LONGEST_RECORD_READ_MS,
+  const periodMs = isRelayed ? relayedPeriodMs(servingHosts) : FULL_MESH_PERIOD_MS;
+  const standbyPeriodMs = isRelayed
+    ? relayedPeriodMs(hosts * STANDBY_SLOWDOWN)
+    : FULL_MESH_PERIOD_MS;
+  const digestMs = Math.max(MIN_DIGEST_MS, intervalMs(servingHosts, DIGESTS_PER_SECOND));
+  const standbyDigestMs = Math.max(MIN_STANDBY_DIGEST_MS, intervalMs(hosts, DIGESTS_PER_SECOND));
+  const recordMs = clamp(MIN_RECORD_MS, intervalMs(hosts, RECORD_WRITES_PER_SECOND), MAX_RECORD_MS);
+  const recordReadMs = clamp(
+    MIN_RECORD_READ_MS,
+    intervalMs(hosts, RECORD_READS_PER_SECOND),
+    MAX_RECORD_READ_MS,
   );
-  const pollMs = within(LEAST_POLL_MS, everyMs(hosts, POLLS_PER_SECOND), LONGEST_POLL_MS);
+  const pollMs = clamp(MIN_POLL_MS, intervalMs(hosts, POLLS_PER_SECOND), MAX_POLL_MS);
   const silentMs = hintLifetime(isRelayed ? Math.max(periodMs, standbyDigestMs) : periodMs);
   return {
     ...{ isRelayed, periodMs, standbyPeriodMs, gapMs, digestMs, standbyDigestMs },
@@ -111,23 +113,28 @@
 }
 
 /**
- * Gets how long a hint counts.
+ * Gets the lifetime of a gossip message.
  *
- * @param nextMs - Milliseconds within which the next one was to come.
- * @returns Milliseconds.
+ * @param nextMs - Milliseconds within which the next message is due.
+ * @returns Milliseconds after which the message is discarded.
  */
 export function hintLifetime(nextMs: Millis): Millis {
-  return nextMs * SILENT_PERIODS + SILENT_MARGIN_MS;
+  return nextMs * TIMEOUT_PERIODS + TIMEOUT_MARGIN_MS;
 }
 
 function relayedPeriodMs(hosts: number): Millis {
-  return within(LEAST_PERIOD_MS, everyMs(hosts, HINTS_PER_SECOND), LONGEST_PERIOD_MS);
+  return clamp(
+    MIN_RELAYED_PERIOD_MS,
+    intervalMs(hosts, RELAY_MESSAGES_PER_SECOND),
+    MAX_RELAYED_PERIOD_MS,
+  );
 }
 
-function within(least: Millis, ms: Millis, most: Millis): Millis {
-  return Math.min(most, Math.max(least, ms));
+function clamp(min: Millis, ms: Millis, max: Millis): Millis {
+  return Math.min(max, Math.max(min, ms));
 }
 
-function everyMs(hosts: number, perSecond: number): Millis {
+/** Gets how often each of some hosts may act so that all together reach a rate. */
+function intervalMs(hosts: number, perSecond: number): Millis {
   return (hosts / perSecond) * MS_PER_SECOND;
 }
--- a/packages/decisions/src/local/isServing.ts
+++ b/packages/decisions/src/local/isServing.ts
@@ -1,60 +1,64 @@
 import type { HostId, ZoneId } from '@camphorvane/core';
 
-/** A host that could take callers. */
+/** A host that may be chosen to serve callers. */
 export interface ServingCandidate {
   readonly host: HostId;
-  /** How much it can carry, against others. */
+  /** Capacity of the host, relative to the others. */
   readonly strength: number;
 }
 
-/** Hosts up to which all of a fleet take callers. */
-const SERVE_ALL_UP_TO = 20;
+/** Largest fleet, in hosts, in which every host serves callers. */
+const ALL_SERVE_MAX_HOSTS = 20;
 
-/** Part of a zone's strength that takes callers; the rest stands by. */
+/** Fraction of the capacity of a zone that serves callers; the rest is on standby. */
 export const SERVING_PART = 1 / 3;
 
-/** Hosts of a zone that take callers at least, so that callers can leave one that has died. */
-const LEAST_SERVING = 3;
+/** Fewest serving hosts of a zone, so that callers of a host that has crashed find another one. */
+const MIN_SERVING_HOSTS = 3;
 
 /**
- * Tells whether a host takes callers, or stands by for those that do.
+ * Gets whether a host serves callers or is on standby.
  *
- * Made for fleets with many more hosts than the load needs: with a few callers on each, every host
- * places on what others placed unseen by it, and engines refuse what does not fit. The strongest hosts
- * of each zone take the callers; another one follows when one of them falls silent. Nobody is elected:
- * each host decides for itself, by the hints that it receives.
+ * A large fleet can have many more hosts than its load needs. With a few callers on each, every host
+ * would place requests without having seen those of the others, and engines would refuse what does not
+ * fit. So the strongest hosts of each zone serve, and the next one takes over when one of them times out.
+ * There is no election: each host decides for itself, by the gossip it receives.
  *
  * @param host - The host.
- * @param zone - The hosts of its zone that are up, itself included, the strongest first.
- * @param fleet - Hosts of the whole fleet.
- * @returns Whether it takes callers.
+ * @param zoneHosts - Hosts of its zone that are up, itself included, in order of decreasing strength.
+ * @param fleetSize - Number of hosts in the whole fleet.
+ * @returns Whether it serves callers.
  */
-export function isServing(host: HostId, zone: readonly ServingCandidate[], fleet: number): boolean {
-  if (fleet <= SERVE_ALL_UP_TO) return true;
-  const index = zone.findIndex((one) => one.host === host);
-  if (index < LEAST_SERVING) return true;
-  const all = strengthOf(zone);
-  return strengthOf(zone.slice(0, index)) < all * SERVING_PART;
+export function isServing(
+  host: HostId,
+  zoneHosts: readonly ServingCandidate[],
+  fleetSize: number,
+): boolean {
+  if (fleetSize <= ALL_SERVE_MAX_HOSTS) return true;
+  const index = zoneHosts.findIndex((candidate) => candidate.host === host);
+  if (index < MIN_SERVING_HOSTS) return true;
+  const total = totalStrength(zoneHosts);
+  return totalStrength(zoneHosts.slice(0, index)) < total * SERVING_PART;
 }
 
 /**
- * Gets the hosts of a fleet that take callers while all of them are up.
+ * Gets the hosts of a fleet that serve callers while all hosts are up.
  *
- * @param fleet - All hosts, the strongest first.
- * @returns Their names, by zone and strength.
+ * @param fleet - All hosts, in order of decreasing strength.
+ * @returns Names of the serving hosts, by zone and strength.
  */
 export function servingHosts(
   fleet: readonly (ServingCandidate & { readonly zone: ZoneId })[],
 ): readonly HostId[] {
   const zones = [...new Set(fleet.map(({ zone }) => zone))].sort();
   return zones.flatMap((zone) => {
-    const inZone = fleet.filter((one) => one.zone === zone);
-    return inZone
-      .filter(({ host }) => isServing(host, inZone, fleet.length))
+    const zoneHosts = fleet.filter((candidate) => candidate.zone === zone);
+    return zoneHosts
+      .filter(({ host }) => isServing(host, zoneHosts, fleet.length))
       .map(({ host }) => host);
   });
 }
 
-function strengthOf(hosts: readonly ServingCandidate[]): number {
+function totalStrength(hosts: readonly ServingCandidate[]): number {
   return hosts.reduce((sum, { strength }) => sum + strength, 0);
 }
--- a/packages/decisions/src/local/meanMemory.ts
+++ b/packages/decisions/src/local/meanMemory.ts
@@ -1,13 +1,14 @@
 import type { Tokens } from '@camphorvane/core';
 import type { WorkItem } from '../PoolScheduler.ts';
 
-/** Part of its output that a running request holds, with room for outputs that grow together. */
-const MEAN_OUTPUT_PART = 0.75;
+/** Fraction of its output that a running request holds, with a margin for outputs that grow together. */
+const MEAN_OUTPUT_FRACTION = 0.75;
 
 /**
- * Gets the memory that a request takes on average while it runs. Its output grows from nothing, and
- * requests on one engine are at different points of theirs; held for the whole output from the start,
- * a third of the memory would stay empty.
+ * Gets the KV memory that a request holds on average while it runs.
+ *
+ * Its output grows from nothing, and the requests on an engine are at different stages. If each reserved
+ * its whole output from the start, a third of the memory would stay empty.
  *
  * @param item - The request.
  * @returns Tokens of memory.
@@ -17,14 +18,21 @@
   maxOutputTokens,
   expectedOutputTokens,
 }: WorkItem): Tokens {
-  return promptTokens + outputOf({ maxOutputTokens, expectedOutputTokens }) * MEAN_OUTPUT_PART;
+  return promptTokens + outputOf({ maxOutputTokens, expectedOutputTokens }) * MEAN_OUTPUT_FRACTION;
 }
 
-/** Gets that memory times the output tokens until whose last one it is held. */
+/**
+ * Gets the memory footprint of a request over its run: its mean memory times its output tokens, which
+ * are the decode steps for which it holds that memory.
+ *
+ * @param item - The request.
+ * @returns Tokens of memory times decode steps.
+ */
 export function memorySteps(item: WorkItem): number {
   return meanMemory(item) * outputOf(item);
 }
 
+/** Gets the output that is expected, or the most that is allowed where nothing is expected. */
 function outputOf({
   maxOutputTokens,
   expectedOutputTokens,
--- a/packages/decisions/tests/local/SlowStart.test.ts
+++ b/packages/decisions/tests/local/SlowStart.test.ts
@@ -12,10 +12,10 @@
   return slowStart;
 };
 
-const names = (count: number): readonly string[] =>
+const numberedNames = (count: number): readonly string[] =>
   Array.from({ length: count }, (_, i) => `h${i}`);
 
-test('an upstream that runs, or has no bounds, gets any number of requests', () => {
+test('an upstream that is not starting, or has no bounds, is not limited', () => {
   const slowStart = bounded(1);
   slowStart.used('e1', 0);
   assert.equal(slowStart.allowance('e1', 1), Infinity);
@@ -23,7 +23,7 @@
   assert.equal(slowStart.allowance('e2', 1), Infinity);
 });
 
-test('an upstream that starts gets the quota of this host, and all once it has started', () => {
+test('a starting upstream gets the quota of this host, and is not limited afterwards', () => {
   const slowStart = bounded(2);
   slowStart.started('e1', 2_000, 0);
   slowStart.used('e1', 10);
@@ -35,7 +35,7 @@
 });
 
 // Guards against full load on an upstream whose entry in the store lags behind its start.
-test('an upstream that does not say how long it starts is bounded for the whole time', () => {
+test('an upstream that does not report how long it is starting is limited for the full time', () => {
   const slowStart = bounded(1);
   slowStart.started('e1', undefined, 100);
   slowStart.used('e1', 2_000);
@@ -44,7 +44,7 @@
 });
 
 // Guards against full load on an upstream that has crashed and is back under its old name.
-test('an upstream that gave no connection is bounded until it has run for a while', () => {
+test('an upstream whose connection failed is limited until some time after its next answer', () => {
   const slowStart = bounded(1);
   slowStart.unreachable('e1');
   slowStart.used('e1', 9_000);
@@ -57,10 +57,10 @@
   assert.equal(slowStart.allowance('e1', 12_030), Infinity);
 });
 
-test('what hosts may send adds up to the bound, and all of it is dealt out', () => {
+test('the quotas of all hosts add up to the bound', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 400 }), fc.integer({ min: 1, max: 200 }), (n, bound) => {
-      const hosts = names(n);
+      const hosts = numberedNames(n);
       const sum = hosts
         .map((host) => slowStartQuota('e1', host, hosts, bound))
         .reduce((a, b) => a + b, 0);
@@ -68,43 +68,43 @@
     }),
     { numRuns: 60 },
   );
-  assert.equal(slowStartQuota('e1', 'stranger', names(3), 31), 0);
+  assert.equal(slowStartQuota('e1', 'stranger', numberedNames(3), 31), 0);
 });
 
-// Guards against a fleet that spends its processor time on quotas while a large zone comes back.
-test('quotas are found once for each upstream, and anew when the hosts change', () => {
+// Guards against hosts that spend their processor time on quotas while a large zone comes back.
+test('quotas are cached for each upstream until the hosts change', () => {
   const quotas = new SlowStartQuotas('h1');
-  const three = names(3);
-  const two = names(2);
+  const three = numberedNames(3);
+  const two = numberedNames(2);
   assert.equal(quotas.get('e1', three, 30), 10);
   assert.equal(quotas.get('e1', three, 30), 10);
   assert.equal(quotas.get('e1', two, 30), 15);
   const startedAt = performance.now();
-  const hosts = names(300);
+  const hosts = numberedNames(300);
   Array.from({ length: 200 }).forEach(() =>
-    names(1_000).forEach((upstream) => quotas.get(upstream, hosts, 31)),
+    numberedNames(1_000).forEach((upstream) => quotas.get(upstream, hosts, 31)),
   );
   assert.ok(performance.now() - startedAt < 2_000);
 });
 
-// Guards against hosts that get no hints of each other and together crash a zone that comes back.
-test('hosts that send whenever they may keep the bound of a second without any hints', () => {
+// Guards against hosts that get no gossip of each other and together crash a zone that comes back.
+test('hosts that use their whole quotas keep the bound per second without gossip', () => {
   const hosts = fc.integer({ min: 1, max: 90 });
-  const laterMs = fc.array(fc.integer({ min: 0, max: 400 }), { minLength: 90, maxLength: 90 });
-  const news = fc.array(fc.integer({ min: 0, max: 5_000 }), { maxLength: 4 });
+  const delaysMs = fc.array(fc.integer({ min: 0, max: 400 }), { minLength: 90, maxLength: 90 });
+  const starts = fc.array(fc.integer({ min: 0, max: 5_000 }), { maxLength: 4 });
   fc.assert(
-    fc.property(hosts, laterMs, news, (count, delays, startsAt) => {
-      const sent = names(count).flatMap((host, i) => {
+    fc.property(hosts, delaysMs, starts, (count, delays, startsAt) => {
+      const arrivals = numberedNames(count).flatMap((host, i) => {
         const slowStart = new SlowStart((upstream, bound) =>
-          slowStartQuota(upstream, host, names(count), bound),
+          slowStartQuota(upstream, host, numberedNames(count), bound),
         );
         slowStart.reshape(new Map([['e1', BOUNDS]]));
         slowStart.started('e1', 10_000, 0);
-        return sendsOf(slowStart, startsAt, delays[i] ?? 0);
+        return arrivalsOf(slowStart, startsAt, delays[i] ?? 0);
       });
       const most = Math.max(
         0,
-        ...sent.map((from) => sent.filter((at) => at >= from && at < from + 1_000).length),
+        ...arrivals.map((from) => arrivals.filter((at) => at >= from && at < from + 1_000).length),
       );
       assert.ok(most <= BOUNDS.requestsPerSecond, `${most} in a second`);
     }),
@@ -112,8 +112,8 @@
   );
 });
 
-/** Sends whenever that is allowed; each request arrives a host's own delay later. */
-function sendsOf(
+/** Sends requests whenever that is allowed, and gets their times of arrival after a fixed delay. */
+function arrivalsOf(
   slowStart: SlowStart,
   startsAt: readonly Millis[],
   delayMs: Millis,
