--- a/packages/decisions/src/queue/CallerAges.ts
+++ b/packages/decisions/src/queue/CallerAges.ts
@@ -1,51 +1,51 @@
 import type { Millis } from '@camphorvane/core';
 
 /**
- * Part of the longest patience below which a caller is taken for one that comes back. Callers of a route
- * differ in how long they wait, and one that was refused before has lost some seconds.
+ * Fraction of the longest time left below which a request counts as a retry. Callers of a route differ in
+ * their timeouts, and a caller that was refused before has lost some seconds.
  */
-const RETURNED_PART = 0.8;
+const RETRY_THRESHOLD = 0.8;
 
-/** Milliseconds for which the longest patience counts at least, and at most twice as long. */
-const MEMORY_MS: Millis = 30_000;
+/** Window for the longest time left, in milliseconds; it counts for one to two windows. */
+const WINDOW_MS: Millis = 30_000;
 
-interface LongestPatience {
-  readonly since: Millis;
-  readonly now: Millis;
-  /** In the span before. */
-  readonly before: Millis;
+interface TimeLeftWindow {
+  readonly startedAt: Millis;
+  readonly longestMs: Millis;
+  /** Longest time left in the window before. */
+  readonly previousLongestMs: Millis;
 }
 
 /**
- * Estimates how long ago a caller first asked, by the time that it says it will still wait.
+ * Estimates how long ago a caller first sent its request, from the time that it will still wait.
  *
- * Made for overload: a caller that was refused comes back as a new request. Taken for one, it would wait
- * before others that can still be on time, although its own answer is late whatever is done.
+ * Under overload a refused caller comes back with what looks like a new request. Treated as one, it would
+ * be queued before requests that can still be on time, although its own answer is late in any case.
  */
 export class CallerAges {
-  private readonly longest = new Map<string, LongestPatience>();
+  private readonly windows = new Map<string, TimeLeftWindow>();
 
   /**
-   * Gets the age of a request, and learns from it.
+   * Estimates the age of a request, and records its time left.
    *
-   * @param route - The route; callers of one are compared with each other.
-   * @param patienceMs - Milliseconds that the caller will wait from now on.
+   * @param route - The route; only requests of the same route are compared.
+   * @param leftMs - Milliseconds that the caller will still wait.
    * @param now - Present time.
-   * @returns Milliseconds since the caller first asked; 0 for one that seems to ask first.
+   * @returns Milliseconds since the caller first sent the request; 0 for what seems to be a first try.
    */
-  note(route: string, patienceMs: Millis, now: Millis): Millis {
-    const known = this.spanAt(route, now);
-    const span = { ...known, now: Math.max(known.now, patienceMs) };
-    this.longest.set(route, span);
-    const longest = Math.max(span.now, span.before);
-    return patienceMs < longest * RETURNED_PART ? longest - patienceMs : 0;
+  note(route: string, leftMs: Millis, now: Millis): Millis {
+    const current = this.windowAt(route, now);
+    const updated = { ...current, longestMs: Math.max(current.longestMs, leftMs) };
+    this.windows.set(route, updated);
+    const longestMs = Math.max(updated.longestMs, updated.previousLongestMs);
+    return leftMs < longestMs * RETRY_THRESHOLD ? longestMs - leftMs : 0;
   }
 
-  private spanAt(route: string, now: Millis): LongestPatience {
-    const known = this.longest.get(route);
-    if (known === undefined) return { since: now, now: 0, before: 0 };
-    if (now - known.since < MEMORY_MS) return known;
-    const isNext = now - known.since < 2 * MEMORY_MS;
-    return { since: now, now: 0, before: isNext ? known.now : 0 };
+  private windowAt(route: string, now: Millis): TimeLeftWindow {
+    const known = this.windows.get(route);
+    if (known === undefined) return { startedAt: now, longestMs: 0, previousLongestMs: 0 };
+    if (now - known.startedAt < WINDOW_MS) return known;
+    const isNext = now - known.startedAt < 2 * WINDOW_MS;
+    return { startedAt: now, longestMs: 0, previousLongestMs: isNext ? known.longestMs : 0 };
   }
 }
--- a/packages/decisions/src/queue/FairQueue.ts
+++ b/packages/decisions/src/queue/FairQueue.ts
@@ -3,21 +3,23 @@
 import type { QueuedWork } from './QueuedWork.ts';
 import { WorkList } from './WorkList.ts';
 
-/** The classes of work, first in line first. */
+/** The classes of work in order of priority, highest first. */
 export const WORK_CLASSES: readonly WorkClass[] = ['lookup', 'certificate', 'summary'];
 
 interface TeamState {
   readonly team: TeamId;
   weight: number;
-  /** Tokens served divided by weight; the team with the least goes first. */
-  served: number;
+  /** Virtual start time of the next request: tokens served divided by weight. The lowest goes first. */
+  startTag: number;
   readonly lists: Readonly<Record<WorkClass, WorkList>>;
 }
 
 interface ClassState {
+  /** Teams with waiting requests of the class, by start tag. */
   readonly teams: IndexedHeap<TeamId>;
   size: number;
   cost: Tokens;
+  /** Sum of the weights of those teams. */
   weight: number;
 }
 
@@ -29,14 +31,13 @@
 });
 
 /**
- * Waiting requests, fair across teams by tokens served (start-time fair queueing).
+ * Waiting requests, scheduled across teams by start-time fair queueing over tokens.
  *
- * Made for one team that sends several times its rate beside small ones. Order of arrival would
- * give engines to teams in proportion to what they send; here each team with waiting work gets
- * tokens in proportion to its weight, whatever the others send. A team is charged for all classes
- * together, so that lookups can't be used to get more than a share. A team that comes back from a
- * pause starts at the present level: otherwise its idle time would be a credit, and it could hold
- * every engine until it has caught up.
+ * First come, first served would give engines to teams in proportion to what they send, so that a team at
+ * several times its rate would displace small ones. Here each team with waiting requests gets tokens in
+ * proportion to its weight, whatever the others send. One account covers all classes, so that a team can't
+ * exceed its share by sending lookups. A team that was idle resumes at the present virtual time: with credit
+ * for its idle time it could occupy every engine until it has caught up.
  */
 export class FairQueue {
   private readonly teams = new Map<TeamId, TeamState>();
@@ -47,17 +48,17 @@
     summary: emptyClass(),
   };
 
-  /** Teams without waiting work whose level is still above the present one. */
-  private readonly idle = new IndexedHeap<TeamId>();
+  /** Teams without waiting requests whose start tag is ahead of the virtual time. */
+  private readonly idleTeams = new IndexedHeap<TeamId>();
 
-  private level = 0;
+  private virtualTime = 0;
 
   /** Gets the number of waiting requests. */
   get size(): number {
     return WORK_CLASSES.reduce((sum, name) => sum + this.classes[name].size, 0);
   }
 
-  /** Gets the number of teams whose level is remembered. */
+  /** Gets the number of teams whose state is kept. */
   get knownTeams(): number {
     return this.teams.size;
   }
@@ -67,12 +68,12 @@
     return this.classes[name].size;
   }
 
-  /** Gets the tokens that the waiting requests of a class cost together. */
+  /** Gets the cost of all waiting requests of a class, in tokens. */
   getCost(name: WorkClass): Tokens {
     return this.classes[name].cost;
   }
 
-  /** Gets the number of waiting requests of a team, over all classes. */
+  /** Gets the number of waiting requests of a team over all classes. */
   getTeamSize(team: TeamId): number {
     const state = this.teams.get(team);
     return state === undefined
@@ -83,64 +84,69 @@
   /**
    * Gets the tokens that are served before a new request of a team in a class.
    *
-   * The team's own tokens wait for the other teams' in proportion to the weights; other teams can't
-   * hold it up by more than they have waiting.
+   * While the requests of the team itself are served, other teams are served in proportion to their weights,
+   * but no more than they have waiting.
+   *
+   * @param team - The team.
+   * @param weight - Its weight.
+   * @param name - The class.
+   * @returns Tokens of the team itself and of others.
    */
   getCostAhead(team: TeamId, weight: number, name: WorkClass): Tokens {
     const own = this.teams.get(team)?.lists[name].cost ?? 0;
-    const others = this.classes[name];
-    const known = own > 0 ? others.weight : others.weight + weight;
-    return Math.min(others.cost, own * (known / weight));
+    const all = this.classes[name];
+    const totalWeight = own > 0 ? all.weight : all.weight + weight;
+    return Math.min(all.cost, own * (totalWeight / weight));
   }
 
   /** Adds a request. */
   push(work: QueuedWork): void {
     const { item } = work;
-    const state = this.wake(item.team, item.weight);
+    const state = this.activate(item.team, item.weight);
     const list = state.lists[item.class];
-    const kind = this.classes[item.class];
-    if (list.size === 0) kind.weight += state.weight;
+    const classState = this.classes[item.class];
+    if (list.size === 0) classState.weight += state.weight;
     list.push(work);
-    kind.size += 1;
-    kind.cost += work.cost;
-    kind.teams.set(item.team, state.served);
+    classState.size += 1;
+    classState.cost += work.cost;
+    classState.teams.set(item.team, state.startTag);
   }
 
-  /** Takes out a request that is in the queue. */
+  /** Removes a request, which must be in the queue. */
   remove(work: QueuedWork): void {
     const { item } = work;
     const state = this.teams.get(item.team);
     if (state === undefined) return;
     const list = state.lists[item.class];
-    const kind = this.classes[item.class];
+    const classState = this.classes[item.class];
     list.remove(work);
-    kind.size -= 1;
-    kind.cost -= work.cost;
+    classState.size -= 1;
+    classState.cost -= work.cost;
     if (list.size > 0) return;
-    kind.teams.delete(item.team);
-    kind.weight = kind.size === 0 ? 0 : kind.weight - state.weight;
-    if (this.getTeamSize(item.team) === 0) this.rest(state);
+    classState.teams.delete(item.team);
+    classState.weight = classState.size === 0 ? 0 : classState.weight - state.weight;
+    if (this.getTeamSize(item.team) === 0) this.deactivate(state);
   }
 
-  /** Charges a team for a request that got its place, after {@link remove}. */
+  /** Charges a team for a placed request, which was removed before by {@link FairQueue.remove}. */
   charge(work: QueuedWork): void {
     const { item, cost } = work;
-    const state = this.wake(item.team, item.weight);
-    this.level = Math.max(this.level, state.served);
-    state.served += cost / state.weight;
+    const state = this.activate(item.team, item.weight);
+    this.virtualTime = Math.max(this.virtualTime, state.startTag);
+    state.startTag += cost / state.weight;
     WORK_CLASSES.filter((name) => state.lists[name].size > 0).forEach((name) =>
-      this.classes[name].teams.set(item.team, state.served),
+      this.classes[name].teams.set(item.team, state.startTag),
     );
-    if (this.getTeamSize(item.team) === 0) this.rest(state);
+    if (this.getTeamSize(item.team) === 0) this.deactivate(state);
   }
 
   /**
-   * Finds the first waiting request of a class that fits, least served team first.
+   * Finds a request of a class that fits, among the first request of each team; lowest start tag first.
    *
    * @param name - The class.
-   * @param fits - Tells whether a request can be placed now.
-   * @param limit - Most teams to look at.
-   * @returns The request, still in the queue.
+   * @param fits - Gets whether a request can be placed now.
+   * @param limit - Largest number of teams to try.
+   * @returns The request, which stays in the queue; undefined if none fits.
    */
   find(
     name: WorkClass,
@@ -155,7 +161,8 @@
     return team === undefined ? undefined : head(team);
   }
 
-  private wake(team: TeamId, weight: number): TeamState {
+  /** Gets the state of a team, which resumes at the present virtual time if it was idle. */
+  private activate(team: TeamId, weight: number): TeamState {
     const known = this.teams.get(team);
     if (known === undefined) {
       const lists = {
@@ -163,26 +170,26 @@
         certificate: new WorkList(),
         summary: new WorkList(),
       };
-      const fresh: TeamState = { team, weight, served: this.level, lists };
-      this.teams.set(team, fresh);
-      return fresh;
+      const created: TeamState = { team, weight, startTag: this.virtualTime, lists };
+      this.teams.set(team, created);
+      return created;
     }
     if (this.getTeamSize(team) === 0) {
-      this.idle.delete(team);
+      this.idleTeams.delete(team);
       known.weight = weight;
-      known.served = Math.max(known.served, this.level);
+      known.startTag = Math.max(known.startTag, this.virtualTime);
     }
     return known;
   }
 
-  /** Remembers an idle team only while it is ahead of the others, so that memory stays bounded. */
-  private rest(state: TeamState): void {
-    this.idle.set(state.team, state.served);
-    let [team, served] = [this.idle.peek(), this.idle.peekKey()];
-    while (team !== undefined && served !== undefined && served <= this.level) {
-      this.idle.delete(team);
+  /** Keeps an idle team only while its start tag is ahead of the virtual time, to bound the memory. */
+  private deactivate(state: TeamState): void {
+    this.idleTeams.set(state.team, state.startTag);
+    let [team, startTag] = [this.idleTeams.peek(), this.idleTeams.peekKey()];
+    while (team !== undefined && startTag !== undefined && startTag <= this.virtualTime) {
+      this.idleTeams.delete(team);
       this.teams.delete(team);
-      [team, served] = [this.idle.peek(), this.idle.peekKey()];
+      [team, startTag] = [this.idleTeams.peek(), this.idleTeams.peekKey()];
     }
   }
 }
--- a/packages/decisions/src/queue/QueuedWork.ts
+++ b/packages/decisions/src/queue/QueuedWork.ts
@@ -1,16 +1,17 @@
 import type { Millis, Pieces, Tokens } from '@camphorvane/core';
 import type { WorkItem } from '../PoolScheduler.ts';
 
-/** A request in the queue, linked to its neighbours of the same team and class. */
+/** A waiting request, linked to its neighbours of the same team and class. */
 export interface QueuedWork {
   readonly item: WorkItem;
   readonly submittedAt: Millis;
-  /** When the request has waited too long, or, for a lookup, the first token is late. */
+  /** Time at which the maximum wait ends or, for a lookup, the target for the first token is missed. */
   readonly lateAt: Millis;
-  /** When the request is given up; a lookup as soon as its first token can't be in time any more. */
+  /** Time at which the request is refused; a lookup as soon as its first token can't be in time. */
   readonly giveUpAt: Millis;
+  /** KV memory that the request reserves, in pieces. */
   readonly pieces: Pieces;
-  /** Tokens charged to the team in fair queueing: prompt plus allowed output. */
+  /** Tokens charged to the team in fair queueing: prompt plus maximum output. */
   readonly cost: Tokens;
   previous: QueuedWork | undefined;
   next: QueuedWork | undefined;
--- a/packages/decisions/src/queue/WorkList.ts
+++ b/packages/decisions/src/queue/WorkList.ts
@@ -1,7 +1,7 @@
 import type { Tokens } from '@camphorvane/core';
 import type { QueuedWork } from './QueuedWork.ts';
 
-/** The waiting requests of one team and class, in order of arrival; removal costs no search. */
+/** The waiting requests of one team and class in order of arrival: a linked list, for removal in O(1). */
 export class WorkList {
   private first: QueuedWork | undefined;
 
@@ -16,17 +16,17 @@
     return this.count;
   }
 
-  /** Gets the tokens that the waiting requests cost together. */
+  /** Gets the cost of all waiting requests, in tokens. */
   get cost(): Tokens {
     return this.tokens;
   }
 
-  /** Gets the request that has waited longest, if there is any. */
+  /** Gets the request that has waited longest; undefined for an empty list. */
   get head(): QueuedWork | undefined {
     return this.first;
   }
 
-  /** Puts a request at the end. */
+  /** Appends a request. */
   push(work: QueuedWork): void {
     const added = work;
     added.previous = this.last;
@@ -38,16 +38,16 @@
     this.tokens += added.cost;
   }
 
-  /** Takes out a request that is in this list. */
+  /** Removes a request, which must be in this list. */
   remove(work: QueuedWork): void {
-    const gone = work;
-    if (gone.previous === undefined) this.first = gone.next;
-    else gone.previous.next = gone.next;
-    if (gone.next === undefined) this.last = gone.previous;
-    else gone.next.previous = gone.previous;
-    gone.previous = undefined;
-    gone.next = undefined;
+    const removed = work;
+    if (removed.previous === undefined) this.first = removed.next;
+    else removed.previous.next = removed.next;
+    if (removed.next === undefined) this.last = removed.previous;
+    else removed.next.previous = removed.previous;
+    removed.previous = undefined;
+    removed.next = undefined;
     this.count -= 1;
-    this.tokens -= gone.cost;
+    this.tokens -= removed.cost;
   }
 }
