--- a/packages/decisions/src/place/DecodeBoard.ts
+++ b/packages/decisions/src/place/DecodeBoard.ts
@@ -3,19 +3,20 @@
 import { IndexedHeap } from '../structures/IndexedHeap.ts';
 import { type EngineState, takesWork } from './EngineState.ts';
 
-/** Engines looked at for one request: the best few, so that the cost stays bounded. */
-const LOOK_AT = 8;
+/** Maximum number of engines examined per index and request, which bounds the cost of a choice. */
+const MAX_CANDIDATES = 8;
 
 /**
- * The decode engines in order of load.
+ * Least-loaded selection of decode engines.
  *
- * The order follows the exact ledger and not the load reports, so that many requests placed at once
- * spread out instead of all going to the engine that looked least loaded a second ago.
+ * Load is taken from the memory ledger rather than from load reports, so that requests placed at
+ * the same time spread out instead of all going to the engine that was least loaded at the last
+ * report.
  */
 export class DecodeBoard {
   private readonly byLoad = new IndexedHeap<UpstreamId>();
 
-  private readonly byFree = new IndexedHeap<UpstreamId>();
+  private readonly byFreeMemory = new IndexedHeap<UpstreamId>();
 
   private readonly engines = new Map<UpstreamId, EngineState>();
 
@@ -24,17 +25,17 @@
     private itlTargetMs: Millis,
   ) {}
 
-  /** Sets the target for the time between tokens. */
+  /** Sets the target inter-token latency, in milliseconds. */
   setTarget(itlTargetMs: Millis): void {
     this.itlTargetMs = itlTargetMs;
   }
 
-  /** Gets how many engines take work. */
+  /** Gets the number of engines that accept new work. */
   get size(): number {
     return this.byLoad.size;
   }
 
-  /** Tells whether a list names every decode engine of the pool, up or down. */
+  /** Tells whether a list contains every decode engine of the pool, whether up or down. */
   areAllIn(ids: readonly UpstreamId[]): boolean {
     if (ids.length === 0) return false;
     return [...this.engines.values()].every(
@@ -42,63 +43,65 @@
     );
   }
 
-  /** Puts an engine into its place in the order, after anything about it has changed. */
+  /** Updates the position of an engine after its state, its reservations or its role changed. */
   refresh(engine: EngineState): void {
     const { id, memoryPieces, role } = engine.cfg;
     this.engines.set(id, engine);
     if (!takesWork(engine) || role !== 'decode') {
       this.byLoad.delete(id);
-      this.byFree.delete(id);
+      this.byFreeMemory.delete(id);
       return;
     }
     const free = this.ledger.getFree(id);
-    const streams = this.ledger.getHolders(id) / this.getUsefulStreams(engine);
-    this.byLoad.set(id, Math.max(streams, 1 - free / memoryPieces));
-    this.byFree.set(id, -free);
+    const streamLoad = this.ledger.getHolders(id) / this.getStreamLimit(engine);
+    this.byLoad.set(id, Math.max(streamLoad, 1 - free / memoryPieces));
+    this.byFreeMemory.set(id, -free);
   }
 
-  /** Takes an engine out. */
+  /** Removes an engine. */
   remove(id: UpstreamId): void {
     this.engines.delete(id);
     this.byLoad.delete(id);
-    this.byFree.delete(id);
+    this.byFreeMemory.delete(id);
   }
 
   /**
-   * Chooses the least loaded engine that has room.
+   * Chooses the least loaded engine that has room; if none of those examined has, the one with the
+   * most free memory that does.
    *
    * @param pieces - Memory that the request needs.
-   * @param left - Share of memory and streams on the engine that it must leave free.
+   * @param reserve - Share of the engine's memory and streams that must stay free, from 0 to 1.
    * @param avoid - Engines that must not be chosen.
-   * @param suits - A further condition on the engine.
-   * @returns The engine, or undefined where none has room.
+   * @param accepts - Further condition on the engine.
+   * @returns The engine, or undefined if no examined engine has room.
    */
   choose(
     pieces: Pieces,
-    left: number,
+    reserve: number,
     avoid: readonly UpstreamId[],
-    suits: (engine: EngineState) => boolean,
+    accepts: (engine: EngineState) => boolean,
   ): EngineState | undefined {
     const fits = (id: UpstreamId): boolean => {
       const engine = this.engines.get(id);
       if (engine === undefined || avoid.includes(id)) return false;
-      return this.hasRoom(engine, pieces, left) && suits(engine);
+      return this.hasRoom(engine, pieces, reserve) && accepts(engine);
     };
-    const id = this.byLoad.find(fits, LOOK_AT) ?? this.byFree.find(fits, LOOK_AT);
+    const id =
+      this.byLoad.find(fits, MAX_CANDIDATES) ?? this.byFreeMemory.find(fits, MAX_CANDIDATES);
     return id === undefined ? undefined : this.engines.get(id);
   }
 
-  private hasRoom(engine: EngineState, pieces: Pieces, left: number): boolean {
+  private hasRoom(engine: EngineState, pieces: Pieces, reserve: number): boolean {
     const { id, memoryPieces } = engine.cfg;
     const free = this.ledger.getFree(id);
-    const holders = this.ledger.getHolders(id);
+    const streams = this.ledger.getHolders(id);
     if (free < pieces) return false;
-    if (holders === 0) return true;
-    const useful = this.getUsefulStreams(engine);
-    return holders + 1 <= useful * (1 - left) && free - pieces >= memoryPieces * left;
+    if (streams === 0) return true;
+    const limit = this.getStreamLimit(engine);
+    return streams + 1 <= limit * (1 - reserve) && free - pieces >= memoryPieces * reserve;
   }
 
-  private getUsefulStreams(engine: EngineState): number {
+  private getStreamLimit(engine: EngineState): number {
     return engine.speed.getUsefulStreams(this.itlTargetMs);
   }
 }
--- a/packages/decisions/src/place/EngineChooser.ts
+++ b/packages/decisions/src/place/EngineChooser.ts
@@ -14,16 +14,16 @@
 import type { PrefillChoice } from './PrefillBoard.ts';
 
 /**
- * Longest time that a finished prefill may wait for the link into its decode engine. Its result is
- * evicted within a second, so a third of that leaves room for the transfer itself and for a
- * prefill that ends earlier than expected.
+ * Longest time for which a prefill result may wait for the link into its decode engine. The prefill
+ * engine evicts results within a second; a third of that leaves time for the transfer itself and
+ * for a prefill that ends earlier than expected.
  */
 const MAX_LINK_WAIT_MS = 300;
 
-/** After this time engines are looked for again, where only the links were in the way. */
+/** Delay before the next attempt if only busy links prevented a placement. */
 const LINK_RETRY_MS = 50;
 
-/** Both engines of a request, chosen together. */
+/** The prefill and the decode engine chosen for a request. */
 export interface Placement {
   readonly prefill: EngineState;
   readonly decode: EngineState;
@@ -31,13 +31,13 @@
   readonly prefillReadyAt: Millis;
 }
 
-/** What came of looking for engines. */
+/** Result of {@link EngineChooser.choose}. */
 export type PlacementResult =
   | { readonly type: 'placed'; readonly placement: Placement }
   | { readonly type: 'no_room'; readonly lacking: EngineRole }
   | { readonly type: 'link_busy'; readonly retryAt: Millis };
 
-/** Chooses prefill and decode engine together, so that no prefill runs without a place to go. */
+/** Chooses both engines of a request together, so that each prefill result has room to go to. */
 export class EngineChooser {
   constructor(
     private readonly table: EngineTable,
@@ -45,42 +45,43 @@
   ) {}
 
   /**
-   * Looks for engines for a request. A decode engine whose link is taken for too long, or so long
-   * that a lookup would miss its target, is passed over for the next one.
+   * Chooses engines for a request. Skips decode engines whose link is busy for too long, or for so
+   * long that a lookup would miss its target.
    *
    * @param work - The request.
    * @param now - Present time.
-   * @returns The placement, or why there is none now.
+   * @returns The placement, or the reason why the request can't be placed now.
    */
   choose(work: QueuedWork, now: Millis): PlacementResult {
     const { item, pieces } = work;
-    const left = getLeftToLookups(work, now);
+    const reserveShare = getLeftToLookups(work, now);
     const prefill = this.table.prefill.choose(item, now);
     if (prefill === undefined) return { type: 'no_room', lacking: 'prefill' };
     const readyAt = now + prefill.readyInMs;
-    const moved = piecesFor(item.promptTokens);
-    const inTime = (engine: EngineState): boolean => this.isInTime(work, engine, moved, readyAt);
-    const decode = this.table.decode.choose(pieces, left, item.avoid, inTime);
-    if (decode !== undefined) return this.placed(prefill, decode, readyAt);
-    const any = this.table.decode.choose(pieces, left, item.avoid, () => true);
-    return any === undefined
+    const transferPieces = piecesFor(item.promptTokens);
+    const isInTime = (engine: EngineState): boolean =>
+      this.isInTime(work, engine, transferPieces, readyAt);
+    const decode = this.table.decode.choose(pieces, reserveShare, item.avoid, isInTime);
+    if (decode !== undefined) return this.toResult(prefill, decode, readyAt);
+    const ignoringLinks = this.table.decode.choose(pieces, reserveShare, item.avoid, () => true);
+    return ignoringLinks === undefined
       ? { type: 'no_room', lacking: 'decode' }
       : { type: 'link_busy', retryAt: now + LINK_RETRY_MS };
   }
 
   /**
-   * Gets the time from placement to the first token if nothing else were in the way.
+   * Gets the time from placement to the first token on idle engines and links.
    *
    * @param item - The request.
    * @param now - Present time.
-   * @returns Milliseconds; what is not known of the engines yet counts as no time.
+   * @returns Milliseconds; the prefill counts as 0 while the engine's speed is not known.
    */
   getLeastMs(item: WorkItem, now: Millis): Millis {
     const prefillMs = this.table.prefill.getLeastMs(item, now);
     return prefillMs + this.links.getTransferMs(piecesFor(item.promptTokens));
   }
 
-  private placed(prefill: PrefillChoice, decode: EngineState, readyAt: Millis): PlacementResult {
+  private toResult(prefill: PrefillChoice, decode: EngineState, readyAt: Millis): PlacementResult {
     return {
       type: 'placed',
       placement: {
@@ -92,11 +93,16 @@
     };
   }
 
-  private isInTime(work: QueuedWork, engine: EngineState, moved: Pieces, readyAt: Millis): boolean {
-    const waitMs = this.links.getWaitMs(engine.cfg.id, moved, readyAt);
+  private isInTime(
+    work: QueuedWork,
+    engine: EngineState,
+    pieces: Pieces,
+    readyAt: Millis,
+  ): boolean {
+    const waitMs = this.links.getWaitMs(engine.cfg.id, pieces, readyAt);
     if (waitMs > MAX_LINK_WAIT_MS) return false;
     const tokenMs = engine.speed.getIntervalMs(1) ?? 0;
-    const firstTokenAt = readyAt + waitMs + this.links.getTransferMs(moved) + tokenMs;
+    const firstTokenAt = readyAt + waitMs + this.links.getTransferMs(pieces) + tokenMs;
     return work.item.class !== 'lookup' || firstTokenAt <= work.lateAt;
   }
 }
--- a/packages/decisions/src/place/EngineState.ts
+++ b/packages/decisions/src/place/EngineState.ts
@@ -1,32 +1,34 @@
 import type { EngineConfig, Millis, Tokens } from '@camphorvane/core';
 import { EngineSpeed } from './EngineSpeed.ts';
 
-/** What the scheduler knows of one engine besides its memory. */
+/** Scheduler state of one engine; its memory is in the memory ledger. */
 export interface EngineState {
   cfg: EngineConfig;
   readonly speed: EngineSpeed;
-  /** True from a failure until the engine answers again. */
+  /** True from a failure until the engine recovers. */
   down: boolean;
-  /** True while the engine is to get no new work, because it leaves or changes its role. */
+  /** True while the engine gets no new work because it leaves the pool or changes its role. */
   draining: boolean;
-  /** Time until which a slow engine gets no new work; 0 for an engine that is not slow. */
+  /** End of the pause in which a slow engine gets no new work; 0 if the engine is not paused. */
   slowUntil: Millis;
-  /** Prefill tokens that were placed and are not over: of lookups, and of all classes. */
+  /** Tokens of the lookup prefills in flight. */
   lookupBacklog: Tokens;
+  /** Tokens of all prefills in flight. */
   backlog: Tokens;
-  /** Prefills that were placed and are not over: of lookups, and of all classes. */
+  /** Number of lookup prefills in flight. */
   lookupPrefills: number;
+  /** Number of all prefills in flight. */
   prefills: number;
-  /** When the last prefill was over, or when the engine got one after being idle. */
+  /** End of the last prefill, or the later time at which the idle engine got a new one. */
   busySince: Millis;
 }
 
-/** Tells whether an engine may get new work. */
+/** Tells whether an engine accepts new work. */
 export function takesWork(engine: EngineState): boolean {
   return !engine.down && !engine.draining && engine.slowUntil === 0;
 }
 
-/** Makes the state of an engine of which nothing is known yet. */
+/** Creates the state of an engine without observations. */
 export function newEngineState(cfg: EngineConfig): EngineState {
   return {
     cfg,
--- a/packages/decisions/src/place/EngineTable.ts
+++ b/packages/decisions/src/place/EngineTable.ts
@@ -8,10 +8,10 @@
 import { type EngineState, newEngineState } from './EngineState.ts';
 import { PrefillBoard } from './PrefillBoard.ts';
 
-/** Time for which a slow engine gets no new work: some ten steps of a very slow engine. */
+/** Time for which a slow engine gets no new work; about ten decode steps of a very slow engine. */
 const SLOW_PAUSE_MS = 2_000;
 
-/** All engines of the pool, kept in order for both choices as events come in. */
+/** The engines of a pool; keeps the selection of both roles up to date as events arrive. */
 export class EngineTable {
   readonly decode: DecodeBoard;
 
@@ -19,7 +19,7 @@
 
   private readonly engines = new Map<UpstreamId, EngineState>();
 
-  private readonly slow = new IndexedHeap<UpstreamId>();
+  private readonly pauses = new IndexedHeap<UpstreamId>();
 
   constructor(
     shape: PoolShape,
@@ -32,13 +32,13 @@
     this.reshape(shape);
   }
 
-  /** Gets the largest request that any decode engine could hold, in pieces. */
+  /** Memory of the largest decode engine, in pieces: the largest request that the pool can hold. */
   largestMemory = 0;
 
-  /** Takes a changed pool into force; an engine that changed its role keeps what it runs. */
+  /** Applies a changed pool; an engine that changed its role keeps its running requests. */
   reshape(shape: PoolShape): void {
-    const kept = new Set(shape.engines.map((cfg) => cfg.id));
-    [...this.engines.keys()].filter((id) => !kept.has(id)).forEach((id) => this.remove(id));
+    const ids = new Set(shape.engines.map((cfg) => cfg.id));
+    [...this.engines.keys()].filter((id) => !ids.has(id)).forEach((id) => this.remove(id));
     this.decode.setTarget(shape.itlTargetMs);
     this.links.setRate(shape.linkPiecesPerSecond);
     shape.engines.forEach((cfg) => this.put(cfg));
@@ -47,7 +47,7 @@
       .reduce((most, cfg) => Math.max(most, cfg.memoryPieces), 0);
   }
 
-  /** Puts an engine into its places again after its ledger changed. */
+  /** Updates the position of an engine after its reservations changed. */
   refresh(id: UpstreamId): void {
     const engine = this.engines.get(id);
     if (engine === undefined) return;
@@ -55,7 +55,7 @@
     this.prefill.refresh(engine);
   }
 
-  /** Notes that a prefill was given to an engine. */
+  /** Records that a prefill was dispatched to an engine. */
   prefillStarted(id: UpstreamId, tokens: Tokens, lookup: boolean, now: Millis): void {
     const engine = this.engines.get(id);
     if (engine === undefined) return;
@@ -67,7 +67,7 @@
     this.prefill.refresh(engine);
   }
 
-  /** Notes that a prefill is over, or was given up. */
+  /** Records that a prefill ended or was cancelled. */
   prefillEnded(id: UpstreamId, tokens: Tokens, lookup: boolean): void {
     const engine = this.engines.get(id);
     if (engine === undefined) return;
@@ -79,12 +79,12 @@
     this.prefill.refresh(engine);
   }
 
-  /** Gets how many prefills an engine has that are not over. */
+  /** Gets the number of prefills in flight on an engine. */
   getPrefills(id: UpstreamId): number {
     return this.engines.get(id)?.prefills ?? 0;
   }
 
-  /** Sets whether an engine is to get no new work. */
+  /** Sets whether an engine is draining and gets no new work. */
   setDraining(id: UpstreamId, draining: boolean): void {
     const engine = this.engines.get(id);
     if (engine === undefined) return;
@@ -92,75 +92,76 @@
     this.refresh(id);
   }
 
-  /** Gets when a slow engine is tried again, if there is one. */
+  /** Gets when the next pause of a slow engine ends, if any engine is paused. */
   get nextTrial(): Millis | undefined {
-    return this.slow.peekKey();
+    return this.pauses.peekKey();
   }
 
-  /** Gives slow engines work again whose pause is over. */
+  /** Lets slow engines whose pause has ended accept work again. */
   endPauses(now: Millis): void {
-    let id = this.slow.peek();
-    while (id !== undefined && (this.slow.peekKey() ?? Infinity) <= now) {
-      this.slow.delete(id);
+    let id = this.pauses.peek();
+    while (id !== undefined && (this.pauses.peekKey() ?? Infinity) <= now) {
+      this.pauses.delete(id);
       const engine = this.engines.get(id);
       if (engine !== undefined) engine.slowUntil = 0;
       this.refresh(id);
-      id = this.slow.peek();
+      id = this.pauses.peek();
     }
   }
 
-  /** Takes in what was seen of an engine; engines that are not in the pool are ignored. */
-  observe(seen: EngineObservation, now: Millis): void {
-    const engine = this.engines.get(seen.engine);
+  /** Applies what was observed of an engine; engines outside the pool are ignored. */
+  observe(observed: EngineObservation, now: Millis): void {
+    const engine = this.engines.get(observed.engine);
     if (engine === undefined) return;
-    this.apply(engine, seen, now);
-    this.refresh(seen.engine);
+    this.apply(engine, observed, now);
+    this.refresh(observed.engine);
   }
 
-  private apply(engine: EngineState, seen: EngineObservation, now: Millis): void {
-    const known = engine;
-    switch (seen.type) {
+  private apply(engine: EngineState, observed: EngineObservation, now: Millis): void {
+    const state = engine;
+    switch (observed.type) {
       case 'load':
-        this.memory.report(seen.engine, seen.load.usedPieces);
+        this.memory.report(observed.engine, observed.load.usedPieces);
         break;
       case 'token_interval':
-        known.speed.observeInterval(seen.meanMs, seen.streams);
+        state.speed.observeInterval(observed.meanMs, observed.streams);
         break;
       case 'prefill_done': {
-        // The span includes the wait behind other prefills, which says nothing about the engine.
-        const busyMs = Math.min(seen.tookMs, now - known.busySince);
-        known.speed.observePrefill(seen.tokens - seen.cachedTokens, busyMs);
-        known.busySince = now;
-        seen.prefixes.forEach((prefix) => this.cache.stored(seen.engine, prefix.digest, now));
+        // The reported time includes queueing behind other prefills, which is not engine speed.
+        const busyMs = Math.min(observed.tookMs, now - state.busySince);
+        state.speed.observePrefill(observed.tokens - observed.cachedTokens, busyMs);
+        state.busySince = now;
+        observed.prefixes.forEach((prefix) =>
+          this.cache.stored(observed.engine, prefix.digest, now),
+        );
         break;
       }
       case 'failed':
-        if (seen.reason === 'down') known.down = true;
-        else this.relieve(known, now);
+        if (observed.reason === 'down') state.down = true;
+        else this.pause(state, now);
         break;
       case 'recovered':
-        known.down = false;
-        known.slowUntil = 0;
-        this.slow.delete(seen.engine);
+        state.down = false;
+        state.slowUntil = 0;
+        this.pauses.delete(observed.engine);
         break;
       case 'cache':
-        if (seen.change === 'stored') this.cache.stored(seen.engine, seen.digest, now);
-        else this.cache.evicted(seen.engine, seen.digest);
+        if (observed.change === 'stored') this.cache.stored(observed.engine, observed.digest, now);
+        else this.cache.evicted(observed.engine, observed.digest);
         break;
       default:
-        seen satisfies never;
+        observed satisfies never;
     }
   }
 
   /**
-   * Takes new work off an engine for a while. What goes wrong: an engine stalls, its streams stop
-   * short of their progress deadlines, and it looks less loaded than the others just because
-   * nothing on it moves. It is tried again after the pause.
+   * Stops new work on a slow engine for {@link SLOW_PAUSE_MS}. The streams of a stalled engine miss
+   * their progress deadlines, yet it looks less loaded than others because nothing on it advances.
    */
-  private relieve(engine: EngineState, now: Millis): void {
-    const relieved = engine;
-    relieved.slowUntil = now + SLOW_PAUSE_MS;
-    this.slow.set(engine.cfg.id, relieved.slowUntil);
+  private pause(engine: EngineState, now: Millis): void {
+    const paused = engine;
+    paused.slowUntil = now + SLOW_PAUSE_MS;
+    this.pauses.set(engine.cfg.id, paused.slowUntil);
   }
 
   private put(cfg: EngineConfig): void {
@@ -173,7 +174,7 @@
 
   private remove(id: UpstreamId): void {
     this.engines.delete(id);
-    this.slow.delete(id);
+    this.pauses.delete(id);
     this.decode.remove(id);
     this.prefill.remove(id);
     this.memory.close(id);
--- a/packages/decisions/src/place/PrefillBoard.ts
+++ b/packages/decisions/src/place/PrefillBoard.ts
@@ -4,43 +4,43 @@
 import type { CacheExpectation } from './CacheExpectation.ts';
 import { type EngineState, takesWork } from './EngineState.ts';
 
-/** Engines looked at for one request besides those with an expected cache hit. */
-const LOOK_AT = 4;
+/** Maximum number of engines examined per request, besides those with an expected cache hit. */
+const MAX_CANDIDATES = 4;
 
 /**
- * Prefill work, in milliseconds, that may wait at an engine besides what runs. Enough that it is
- * never idle between two prefills while a decision travels; more would only move the queue to a
- * place where it is no longer fair, and would hold decode memory meanwhile.
+ * Backlog, in milliseconds of prefill work, up to which an engine gets another prefill. Enough to
+ * keep it busy while the next placement is on its way; more would move the queue to the engine,
+ * where it is not fair across teams, and would hold decode memory meanwhile.
  */
-const MAX_WAITING_MS = 40;
+const MAX_BACKLOG_MS = 40;
 
-/** Prefills given to an engine whose speed is not known yet. */
-const MAX_UNKNOWN = 2;
+/** Maximum number of prefills in flight on an engine whose speed is not known yet. */
+const MAX_PREFILLS_AT_UNKNOWN_SPEED = 2;
 
 /** A prefill engine chosen for a request. */
 export interface PrefillChoice {
   readonly engine: EngineState;
   readonly expectedCachedTokens: Tokens;
-  /** Time until the prefill is over, in milliseconds; 0 while the engine's speed is not known. */
+  /** Expected time until the prefill ends, in milliseconds; 0 if the engine's speed is not known. */
   readonly readyInMs: Millis;
 }
 
-/** The prefill engines in order of the work that waits for them. */
+/** Shortest-backlog selection of prefill engines, aware of their prefix caches. */
 export class PrefillBoard {
-  private readonly byLookups = new IndexedHeap<UpstreamId>();
+  private readonly byLookupBacklog = new IndexedHeap<UpstreamId>();
 
-  private readonly byAll = new IndexedHeap<UpstreamId>();
+  private readonly byBacklog = new IndexedHeap<UpstreamId>();
 
   private readonly engines = new Map<UpstreamId, EngineState>();
 
   constructor(private readonly cache: CacheExpectation) {}
 
-  /** Gets how many engines take work. */
+  /** Gets the number of engines that accept new work. */
   get size(): number {
-    return this.byAll.size;
+    return this.byBacklog.size;
   }
 
-  /** Tells whether a list names every prefill engine of the pool, up or down. */
+  /** Tells whether a list contains every prefill engine of the pool, whether up or down. */
   areAllIn(ids: readonly UpstreamId[]): boolean {
     if (ids.length === 0) return false;
     return [...this.engines.values()].every(
@@ -48,52 +48,63 @@
     );
   }
 
-  /** Puts an engine into its place in the order, after anything about it has changed. */
+  /** Updates the position of an engine after its state, its backlog or its role changed. */
   refresh(engine: EngineState): void {
     const { id, role } = engine.cfg;
     this.engines.set(id, engine);
     if (!takesWork(engine) || role !== 'prefill') {
-      this.byLookups.delete(id);
-      this.byAll.delete(id);
+      this.byLookupBacklog.delete(id);
+      this.byBacklog.delete(id);
       return;
     }
     const rate = engine.speed.getPrefillRate() ?? 1;
-    this.byLookups.set(id, engine.lookupBacklog / rate);
-    this.byAll.set(id, engine.backlog / rate);
+    this.byLookupBacklog.set(id, engine.lookupBacklog / rate);
+    this.byBacklog.set(id, engine.backlog / rate);
   }
 
-  /** Takes an engine out. */
+  /** Removes an engine. */
   remove(id: UpstreamId): void {
     this.engines.delete(id);
-    this.byLookups.delete(id);
-    this.byAll.delete(id);
+    this.byLookupBacklog.delete(id);
+    this.byBacklog.delete(id);
   }
 
   /**
-   * Chooses the engine on which the prompt is ready first.
+   * Chooses the engine on which the prefill is expected to end first.
    *
-   * Engines honour priorities, so a lookup looks only at the lookups before it; a summary looks at
-   * everything. An expected cache hit counts with its probability against the wait for that engine.
+   * Engines honour priorities, so a lookup waits only behind other lookups, whereas other classes
+   * wait behind all prefills. Expected cached tokens count as work that the engine is spared.
+   *
+   * @param item - The request.
+   * @param now - Present time.
+   * @returns The engine, or undefined if none of those examined has room.
    */
   choose(item: WorkItem, now: Millis): PrefillChoice | undefined {
-    const order = item.class === 'lookup' ? this.byLookups : this.byAll;
-    const usable = (id: UpstreamId): boolean =>
+    const index = item.class === 'lookup' ? this.byLookupBacklog : this.byBacklog;
+    const isUsable = (id: UpstreamId): boolean =>
       !item.avoid.includes(id) && this.hasRoom(this.engines.get(id), item.class);
-    const least = order.find(usable, LOOK_AT);
-    const cached = this.cache.expect(item.prefixes, now).filter((hit) => usable(hit.engine));
-    const tokens = new Map(cached.map((hit) => [hit.engine, hit.tokens]));
-    const ids = least === undefined ? [...tokens.keys()] : [least, ...tokens.keys()];
+    const least = index.find(isUsable, MAX_CANDIDATES);
+    const cached = this.cache.expect(item.prefixes, now).filter((hit) => isUsable(hit.engine));
+    const cachedTokens = new Map(cached.map((hit) => [hit.engine, hit.tokens]));
+    const ids = least === undefined ? [...cachedTokens.keys()] : [least, ...cachedTokens.keys()];
     return ids
-      .flatMap((id) => this.rate(this.engines.get(id), item, tokens.get(id) ?? 0))
+      .flatMap((id) => this.toChoice(this.engines.get(id), item, cachedTokens.get(id) ?? 0))
       .reduce<PrefillChoice | undefined>(
         (best, next) => (best === undefined || next.readyInMs < best.readyInMs ? next : best),
         undefined,
       );
   }
 
-  /** Gets the time for a prompt on the engine with the least work, if it had none, in milliseconds. */
+  /**
+   * Gets the prefill time of a prompt without any backlog, at the speed of the engine with the
+   * shortest backlog and with the best expected cache hit of all engines.
+   *
+   * @param item - The request.
+   * @param now - Present time.
+   * @returns Milliseconds; 0 if the engine's speed is not known.
+   */
   getLeastMs(item: WorkItem, now: Millis): Millis {
-    const id = this.byAll.peek();
+    const id = this.byBacklog.peek();
     const rate = id === undefined ? undefined : this.engines.get(id)?.speed.getPrefillRate();
     if (rate === undefined) return 0;
     const cached = this.cache
@@ -102,7 +113,11 @@
     return Math.max(0, item.promptTokens - cached) / rate;
   }
 
-  private rate(engine: EngineState | undefined, item: WorkItem, cached: Tokens): PrefillChoice[] {
+  private toChoice(
+    engine: EngineState | undefined,
+    item: WorkItem,
+    cached: Tokens,
+  ): PrefillChoice[] {
     if (engine === undefined) return [];
     const rate = engine.speed.getPrefillRate();
     const backlog = item.class === 'lookup' ? engine.lookupBacklog : engine.backlog;
@@ -112,15 +127,15 @@
     ];
   }
 
-  private hasRoom(engine: EngineState | undefined, kind: WorkClass): boolean {
+  private hasRoom(engine: EngineState | undefined, workClass: WorkClass): boolean {
     if (engine === undefined || !takesWork(engine) || engine.cfg.role !== 'prefill') return false;
     const [count, backlog] =
-      kind === 'lookup'
+      workClass === 'lookup'
         ? [engine.lookupPrefills, engine.lookupBacklog]
         : [engine.prefills, engine.backlog];
     const rate = engine.speed.getPrefillRate();
     if (count === 0) return true;
-    if (rate === undefined) return count < MAX_UNKNOWN;
-    return backlog / rate <= MAX_WAITING_MS;
+    if (rate === undefined) return count < MAX_PREFILLS_AT_UNKNOWN_SPEED;
+    return backlog / rate <= MAX_BACKLOG_MS;
   }
 }
