--- a/packages/decisions/src/shift/DemandBook.ts
+++ b/packages/decisions/src/shift/DemandBook.ts
@@ -4,16 +4,16 @@
 import type { PoolDemand } from './DemandHistory.ts';
 import { DemandHistory, NO_DEMAND, sumDemand } from './DemandHistory.ts';
 
-/** Name under which this host's own count is kept. */
-const OWN = '';
+/** Source name of this host's own totals. */
+const OWN_SOURCE = '';
 
-/** Name under which the count of all hosts that a relay hears is kept. */
-const RELAYED = '*';
+/** Source name of the totals that a relay adds up over the hosts it hears. */
+const RELAYED_SOURCE = '*';
 
-/** Weight of the newest request in the mean patience; about the last twenty count. */
-const PATIENCE_WEIGHT = 0.05;
+/** Weight of the newest request in the moving mean of allowed waits; about the last twenty count. */
+const ON_TIME_WEIGHT = 0.05;
 
-/** What was asked of all pools, of this host and of its peers. */
+/** Tracks the demand on every pool, as seen by this host and reported by its peers. */
 export class DemandBook {
   private readonly own = new Map<ModelId, PoolDemand>();
 
@@ -21,12 +21,12 @@
 
   private readonly onTimeMs = new Map<ModelId, Millis>();
 
-  /** Who was heard before; what such a source names for the first time counts from nothing. */
-  private readonly heard = new Set<string>();
+  /** Sources heard before; a pool that such a source reports for the first time starts at zero. */
+  private readonly knownSources = new Set<string>();
 
-  private relay = '';
+  private currentRelay = '';
 
-  /** Counts a request that came to this host. */
+  /** Records a request that arrived at this host. */
   asked(model: ModelId, item: WorkItem, now: Millis): void {
     const total = sumDemand(this.own.get(model) ?? NO_DEMAND, {
       requests: 1,
@@ -35,20 +35,20 @@
       memorySteps: memorySteps(item),
     });
     this.own.set(model, total);
-    this.historyOf(model).receive(OWN, OWN, total, now);
-    const patience = item.onTimeMs ?? item.maxWaitMs;
-    // A request that is late when it comes says nothing of how long others may wait.
-    if (patience <= 0) return;
-    const mean = this.onTimeMs.get(model) ?? patience;
-    this.onTimeMs.set(model, mean + (patience - mean) * PATIENCE_WEIGHT);
+    this.historyOf(model).receive(OWN_SOURCE, OWN_SOURCE, total, now);
+    const onTimeMs = item.onTimeMs ?? item.maxWaitMs;
+    // A request that is late on arrival doesn't tell how long others may wait.
+    if (onTimeMs <= 0) return;
+    const mean = this.onTimeMs.get(model) ?? onTimeMs;
+    this.onTimeMs.set(model, mean + (onTimeMs - mean) * ON_TIME_WEIGHT);
   }
 
   /**
-   * Takes in what was asked of a peer, or of several together.
+   * Applies the cumulative demand of a peer, or of several peers together.
    *
-   * @param source - Who counted.
-   * @param incarnation - Its start; a new one counts from zero.
-   * @param totals - All that was asked since then, by pool.
+   * @param source - Name of the source.
+   * @param incarnation - Incarnation of the source; totals restart at zero with a new one.
+   * @param totals - Demand since the start of the incarnation, by pool.
    * @param now - Present time.
    */
   receive(
@@ -59,18 +59,18 @@
   ): void {
     totals.forEach(({ model, ...total }) => {
       const history = this.historyOf(model);
-      if (this.heard.has(source)) history.expect(source, incarnation);
+      if (this.knownSources.has(source)) history.expect(source, incarnation);
       history.receive(source, incarnation, total, now);
     });
-    this.heard.add(source);
+    this.knownSources.add(source);
   }
 
   /**
-   * Takes in what was asked of all peers that a relay hears.
+   * Applies the cumulative demand of all peers that a relay hears.
    *
-   * @param relay - The relay and its start.
-   * @param totals - All that was asked since it first heard of them; another relay counts from another
-   *   time, so its first count can't be compared with the last one of the relay before.
+   * @param relay - Name and incarnation of the relay.
+   * @param totals - Demand since the relay first heard of each peer. Another relay counts from a
+   *   different time, so its first totals can't be compared with the last of the previous relay.
    * @param now - Present time.
    */
   receiveRelayed(
@@ -78,25 +78,25 @@
     totals: readonly (PoolDemand & { readonly model: ModelId })[],
     now: Millis,
   ): void {
-    if (relay !== this.relay) {
-      this.heard.delete(RELAYED);
-      this.histories.forEach((history) => history.forget(RELAYED));
+    if (relay !== this.currentRelay) {
+      this.knownSources.delete(RELAYED_SOURCE);
+      this.histories.forEach((history) => history.forget(RELAYED_SOURCE));
     }
-    this.relay = relay;
-    this.receive(RELAYED, relay, totals, now);
+    this.currentRelay = relay;
+    this.receive(RELAYED_SOURCE, relay, totals, now);
   }
 
-  /** Gets what was asked of this host since its start, to be told to its peers. */
+  /** Gets the demand on this host since its start, by pool, to be gossiped to its peers. */
   getOwn(): readonly (PoolDemand & { readonly model: ModelId })[] {
     return [...this.own].map(([model, total]) => ({ model, ...total }));
   }
 
-  /** Gets what was asked of a pool lately, in short spans. */
+  /** Gets the recent demand on a pool, in buckets of fixed width. */
   getSpans(model: ModelId, now: Millis): readonly PoolDemand[] {
     return this.histories.get(model)?.getSpans(now) ?? [];
   }
 
-  /** Gets how long requests of this host may wait and still be on time; undefined before the first. */
+  /** Gets how long this host's requests may wait on average and still be on time, if any arrived. */
   getOnTimeMs(model: ModelId): Millis | undefined {
     return this.onTimeMs.get(model);
   }
@@ -105,7 +105,7 @@
     const known = this.histories.get(model);
     if (known !== undefined) return known;
     const history = new DemandHistory();
-    history.expect(OWN, OWN);
+    history.expect(OWN_SOURCE, OWN_SOURCE);
     this.histories.set(model, history);
     return history;
   }
--- a/packages/decisions/src/shift/DemandHistory.ts
+++ b/packages/decisions/src/shift/DemandHistory.ts
@@ -1,17 +1,17 @@
 import type { Incarnation, Millis, Tokens } from '@camphorvane/core';
 
-/** What requests for one pool bring, added up. */
+/** Total demand of a number of requests for one pool. */
 export interface PoolDemand {
   readonly requests: number;
-  /** Prompts that are to be read. */
+  /** Prompt tokens to prefill. */
   readonly promptTokens: Tokens;
-  /** Memory that the requests hold on average while they run. */
+  /** Memory that the requests hold on average while they run, summed over the requests. */
   readonly memoryTokens: Tokens;
-  /** That memory times the output tokens until whose last one it is held. */
+  /** That memory times the decode steps for which it is held, summed over the requests. */
   readonly memorySteps: number;
 }
 
-/** No request. */
+/** Demand of no requests. */
 export const NO_DEMAND: PoolDemand = {
   requests: 0,
   promptTokens: 0,
@@ -20,76 +20,76 @@
 };
 
 /**
- * Length of the spans into which demand is sorted, in milliseconds: as long as the reading of two
- * prompts, so that requests that come in a clump weigh on the engines at once.
+ * Width of a demand bucket: about the prefill time of two prompts, so that the requests of one burst
+ * load the engines at the same time.
  */
 export const DEMAND_SPAN_MS: Millis = 200;
 
-/** Milliseconds that are remembered: some bursts and what lies between them. */
+/** Length of the history; it covers several bursts and the intervals between them. */
 const HISTORY_MS: Millis = 30_000;
 
-interface Source {
+interface ReportedTotal {
   readonly incarnation: Incarnation;
   readonly total: PoolDemand;
 }
 
 /**
- * Remembers what was asked of a pool, over all hosts, in short spans.
+ * Recent demand on a pool over all hosts, in buckets of fixed width.
  *
- * Each host counts what was asked of it since its start, and the others take the differences: a
- * message that is lost leaves no gap, because the next one holds its count too.
+ * Each host reports cumulative totals since its start, and receivers record the increases. A lost
+ * message leaves no gap, because the next total includes what it reported.
  */
 export class DemandHistory {
-  private readonly spans = new Map<number, PoolDemand>();
+  private readonly buckets = new Map<number, PoolDemand>();
 
-  private readonly sources = new Map<string, Source>();
+  private readonly totals = new Map<string, ReportedTotal>();
 
   /**
-   * Takes in the count of a host, or of several hosts together.
+   * Applies the cumulative demand of a host, or of several hosts together.
    *
-   * @param source - Who counted.
-   * @param incarnation - Its start; a new one counts from zero.
-   * @param total - All that was asked since that start.
+   * @param source - Name of the source.
+   * @param incarnation - Incarnation of the source; its total restarts at zero with a new one.
+   * @param total - Demand since the start of the incarnation.
    * @param now - Present time.
    */
   receive(source: string, incarnation: Incarnation, total: PoolDemand, now: Millis): void {
-    const known = this.sources.get(source);
-    this.sources.set(source, { incarnation, total });
-    // What was asked before this source was first heard of came at times that nobody knows.
-    if (known === undefined) return;
-    const before = known.incarnation === incarnation ? known.total : NO_DEMAND;
-    const more = subtractDemand(total, before);
-    if (more.requests > 0) this.add(more, now);
+    const previous = this.totals.get(source);
+    this.totals.set(source, { incarnation, total });
+    // The first total of a source is only a baseline: when its requests arrived is unknown.
+    if (previous === undefined) return;
+    const baseline = previous.incarnation === incarnation ? previous.total : NO_DEMAND;
+    const increase = subtractDemand(total, baseline);
+    if (increase.requests > 0) this.add(increase, now);
   }
 
-  /** Notes that a source counts from nothing, unless it was heard before. */
+  /** Sets the baseline of a source to zero, unless it has reported before. */
   expect(source: string, incarnation: Incarnation): void {
-    if (!this.sources.has(source)) this.sources.set(source, { incarnation, total: NO_DEMAND });
+    if (!this.totals.has(source)) this.totals.set(source, { incarnation, total: NO_DEMAND });
   }
 
-  /** Forgets up to where a source has counted; its next count is where it counts on from. */
+  /** Drops the last total of a source, so that its next one becomes a new baseline. */
   forget(source: string): void {
-    this.sources.delete(source);
+    this.totals.delete(source);
   }
 
-  /** Gets the spans from the first request that is remembered to the last whole span. */
+  /** Gets the buckets from the first one with recorded requests to the last complete one. */
   getSpans(now: Millis): readonly PoolDemand[] {
-    const end = spanOf(now);
-    const oldest = spanOf(now - HISTORY_MS);
-    [...this.spans.keys()]
-      .filter((span) => span < oldest)
-      .forEach((span) => this.spans.delete(span));
-    const start = Math.min(end, ...this.spans.keys());
-    return Array.from({ length: end - start }, (_, i) => this.spans.get(start + i) ?? NO_DEMAND);
+    const end = bucketOf(now);
+    const oldest = bucketOf(now - HISTORY_MS);
+    [...this.buckets.keys()]
+      .filter((bucket) => bucket < oldest)
+      .forEach((bucket) => this.buckets.delete(bucket));
+    const start = Math.min(end, ...this.buckets.keys());
+    return Array.from({ length: end - start }, (_, i) => this.buckets.get(start + i) ?? NO_DEMAND);
   }
 
-  private add(more: PoolDemand, now: Millis): void {
-    const span = spanOf(now);
-    this.spans.set(span, sumDemand(this.spans.get(span) ?? NO_DEMAND, more));
+  private add(increase: PoolDemand, now: Millis): void {
+    const bucket = bucketOf(now);
+    this.buckets.set(bucket, sumDemand(this.buckets.get(bucket) ?? NO_DEMAND, increase));
   }
 }
 
-/** Adds up two demands. */
+/** Adds two demands. */
 export function sumDemand(a: PoolDemand, b: PoolDemand): PoolDemand {
   return {
     requests: a.requests + b.requests,
@@ -99,7 +99,7 @@
   };
 }
 
-/** Gets a multiple or a part of a demand. */
+/** Multiplies a demand by a factor. */
 export function scaleDemand(demand: PoolDemand, factor: number): PoolDemand {
   return {
     requests: demand.requests * factor,
@@ -109,7 +109,7 @@
   };
 }
 
-/** Gets what came on top of an earlier count; never less than nothing. */
+/** Subtracts a demand from another; no component falls below zero. */
 export function subtractDemand(a: PoolDemand, b: PoolDemand): PoolDemand {
   return {
     requests: Math.max(0, a.requests - b.requests),
@@ -119,6 +119,6 @@
   };
 }
 
-function spanOf(now: Millis): number {
+function bucketOf(now: Millis): number {
   return Math.floor(now / DEMAND_SPAN_MS);
 }
--- a/packages/decisions/src/shift/EngineMoves.ts
+++ b/packages/decisions/src/shift/EngineMoves.ts
@@ -1,83 +1,83 @@
 import type { EngineConfig, EngineRole, Millis, UpstreamId } from '@camphorvane/core';
 
-/** An engine that changes its role, as hosts tell each other. */
+/** A role change of an engine, as gossiped between hosts. */
 export interface EngineMove {
   readonly engine: UpstreamId;
   readonly role: EngineRole;
-  /** Milliseconds after which it counts as usable again in any case; 0 takes the news back. */
+  /** Milliseconds after which the engine counts as usable in any case; 0 revokes the change. */
   readonly leftMs: Millis;
 }
 
-interface Move {
+interface PendingChange {
   readonly role: EngineRole;
   readonly until: Millis;
-  /** Whether this host gave the order, and tells the others. */
+  /** Whether this host gave the order; only then is the change gossiped by it. */
   readonly isOwn: boolean;
 }
 
-/** Milliseconds for which hosts are told that an order was taken back; a lost datagram or two don't matter. */
-const TAKEN_BACK_MS: Millis = 1_000;
+/** Time for which a revoked order is gossiped, so that one or two lost datagrams don't matter. */
+const REVOCATION_GOSSIP_MS: Millis = 1_000;
 
 /**
- * Knows which engines are changing their role.
+ * The engines that are changing their role.
  *
- * The list of engines shows the old role until a change is complete, and the engine refuses work
- * meanwhile. Without this, each host would send it prompts for as long as the change takes; one would
- * notice it as refusals of one engine for some seconds after each order.
+ * The engine list shows the old role until the change is complete, while the engine refuses work.
+ * Without this record, every host would go on sending it requests, which it would refuse for several
+ * seconds after each order.
  */
 export class EngineMoves {
-  private readonly moves = new Map<UpstreamId, Move>();
+  private readonly pending = new Map<UpstreamId, PendingChange>();
 
-  /** Orders that were taken back, and until when others are told. */
-  private readonly takenBack = new Map<UpstreamId, { role: EngineRole; until: Millis }>();
+  /** Orders of this host that were revoked, and until when that is gossiped. */
+  private readonly revoked = new Map<UpstreamId, { role: EngineRole; until: Millis }>();
 
-  /** Notes that this host orders an engine into a role. */
+  /** Records that this host orders an engine into a role. */
   begin(engine: UpstreamId, role: EngineRole, until: Millis): void {
-    this.takenBack.delete(engine);
-    this.moves.set(engine, { role, until, isOwn: true });
+    this.revoked.delete(engine);
+    this.pending.set(engine, { role, until, isOwn: true });
   }
 
-  /** Notes that the engine did not take the order. */
+  /** Revokes an order that the engine did not accept. */
   takeBack(engine: UpstreamId, now: Millis): void {
-    const move = this.moves.get(engine);
-    if (move === undefined) return;
-    this.moves.delete(engine);
-    this.takenBack.set(engine, { role: move.role, until: now + TAKEN_BACK_MS });
+    const change = this.pending.get(engine);
+    if (change === undefined) return;
+    this.pending.delete(engine);
+    this.revoked.set(engine, { role: change.role, until: now + REVOCATION_GOSSIP_MS });
   }
 
-  /** Takes in what a peer says of the engines that it has ordered. */
-  receive(heard: readonly EngineMove[], now: Millis): void {
-    heard.forEach(({ engine, role, leftMs }) => {
-      const known = this.moves.get(engine);
+  /** Applies the role changes that a peer has ordered; this host's own orders take precedence. */
+  receive(changes: readonly EngineMove[], now: Millis): void {
+    changes.forEach(({ engine, role, leftMs }) => {
+      const known = this.pending.get(engine);
       if (known?.isOwn === true) return;
-      if (leftMs <= 0) this.moves.delete(engine);
-      else this.moves.set(engine, { role, until: now + leftMs, isOwn: false });
+      if (leftMs <= 0) this.pending.delete(engine);
+      else this.pending.set(engine, { role, until: now + leftMs, isOwn: false });
     });
   }
 
-  /** Ends the moves that are complete, took too long, or whose engine has gone. */
+  /** Drops changes that are complete, have timed out, or whose engine has left the pool. */
   settle(engines: readonly EngineConfig[], now: Millis): void {
     const roles = new Map(engines.map(({ id, role }) => [id, role]));
-    [...this.moves]
+    [...this.pending]
       .filter(([id, { role, until }]) => until <= now || (roles.get(id) ?? role) === role)
-      .forEach(([id]) => this.moves.delete(id));
-    [...this.takenBack]
+      .forEach(([id]) => this.pending.delete(id));
+    [...this.revoked]
       .filter(([, { until }]) => until <= now)
-      .forEach(([id]) => this.takenBack.delete(id));
+      .forEach(([id]) => this.revoked.delete(id));
   }
 
-  /** Gets the role that an engine is changing to; undefined for one that is not. */
+  /** Gets the role that an engine is changing to; undefined if it is not changing. */
   roleOf(engine: UpstreamId, now: Millis): EngineRole | undefined {
-    const move = this.moves.get(engine);
-    return move === undefined || move.until <= now ? undefined : move.role;
+    const change = this.pending.get(engine);
+    return change === undefined || change.until <= now ? undefined : change.role;
   }
 
-  /** Gets what peers are to be told: the orders of this host. */
+  /** Gets the orders of this host, pending and revoked, to be gossiped to its peers. */
   getOwn(now: Millis): readonly EngineMove[] {
-    const moving = [...this.moves]
+    const pending = [...this.pending]
       .filter(([, { isOwn, until }]) => isOwn && until > now)
       .map(([engine, { role, until }]) => ({ engine, role, leftMs: until - now }));
-    const back = [...this.takenBack].map(([engine, { role }]) => ({ engine, role, leftMs: 0 }));
-    return [...moving, ...back];
+    const revoked = [...this.revoked].map(([engine, { role }]) => ({ engine, role, leftMs: 0 }));
+    return [...pending, ...revoked];
   }
 }
--- a/packages/decisions/src/shift/RoleShifter.ts
+++ b/packages/decisions/src/shift/RoleShifter.ts
@@ -3,35 +3,36 @@
 import { bestSplit, expectedLate } from './RoleSplit.ts';
 import { DEMAND_SPAN_MS } from './DemandHistory.ts';
 
-/** An engine as the shifter sees it. */
+/** State of an engine that role decisions depend on. */
 export interface ShiftableEngine {
   readonly id: UpstreamId;
   readonly zone: ZoneId;
-  /** Its role; the one that it is changing to where it changes. */
+  /** Its role; its target role while it is changing. */
   readonly role: EngineRole;
   readonly isChanging: boolean;
-  /** Whether it failed when it was last used; it is not moved then, as it may not take the order. */
+  /** Whether its last use failed; a failing engine is not moved, as it may not accept the order. */
   readonly isFailing: boolean;
-  /** What it carries, to be compared with engines of the same role. */
+  /** Present load, comparable between engines of the same role. */
   readonly load: number;
 }
 
-/** What a decision was made on. */
+/** Forecast that a decision is based on. */
 export interface RoleForecast {
   readonly present: RoleSplit;
   readonly wanted: RoleSplit;
-  /** Parts of the requests that are expected to be late with the present and the wanted split. */
+  /** Share of requests expected to be late with the current split, from 0 to 1. */
   readonly lateNow: number;
+  /** Share of requests expected to be late with the target split, from 0 to 1. */
   readonly lateThen: number;
-  /** Requests that the forecast is made on. */
+  /** Number of recorded requests that the forecast replays. */
   readonly requests: number;
 }
 
-/** Why no engine is moved. */
+/** Reason why no engine is moved. */
 export type StayReason =
   'little_demand' | 'engines_changed' | 'moving' | 'balanced' | 'not_lasting' | 'no_engine';
 
-/** What is to be done about the roles. */
+/** Decision about the roles of a pool. */
 export type RoleDecision =
   | { readonly type: 'stay'; readonly reason: StayReason; readonly forecast?: RoleForecast }
   | {
@@ -41,98 +42,98 @@
       readonly forecast: RoleForecast;
     };
 
-/** What the shifter is asked with. */
+/** Snapshot of a pool from which its roles are decided. */
 export interface RoleView extends SplitGrounds {
   readonly engines: readonly ShiftableEngine[];
-  /** Milliseconds for which an engine that changes its role does nothing. */
+  /** Time for which an engine serves nothing while it changes its role. */
   readonly switchMs: Millis;
-  /** Milliseconds by which this host holds back, since others are to act before it. */
+  /** Delay before this host acts, so that hosts of a higher rank act first. */
   readonly holdBackMs: Millis;
 }
 
-/** Requests on which a forecast is made at least: with fewer, chance decides. */
-const LEAST_REQUESTS = 16;
+/** Minimum number of recorded requests for a forecast; fewer are not representative. */
+const MIN_REQUESTS = 16;
 
-/** Milliseconds of demand on which a forecast is made at least. */
-const LEAST_DEMAND_MS: Millis = 2_000;
+/** Minimum length of the recorded demand for a forecast. */
+const MIN_DEMAND_MS: Millis = 2_000;
 
-/** Fewer late requests, as a part of all, for which a role is changed. */
-const LEAST_GAIN = 0.04;
+/** Minimum reduction of late requests, as a share of all requests, for which engines are moved. */
+const MIN_GAIN = 0.04;
 
 /**
- * Fewer late requests, as a part of those late now or of those on time, whichever are fewer, for which a
- * role is changed. Around the middle the forecast differs most from one burst to the next.
+ * Minimum reduction of late requests, as a share of the late or of the on-time ones, whichever are
+ * fewer. With about half of the requests late, the forecast varies most from burst to burst.
  */
-const LEAST_GAIN_PART = 0.2;
+const MIN_RELATIVE_GAIN = 0.2;
 
-/** Milliseconds for which a change must be wanted; a clump of requests is over by then. */
-const LASTING_MS: Millis = 800;
+/** Time for which the same change must be favoured; a clump of requests is over by then. */
+const CONFIRMATION_MS: Millis = 800;
 
 /**
- * Milliseconds after a change of the engines in which none is moved. Most engines that crash are back
- * after some seconds, which is sooner than another one could take their place.
+ * Time without moves after an engine joined or left. Most crashed engines are back within seconds,
+ * sooner than another engine could replace them.
  */
 const SETTLE_MS: Millis = 6_000;
 
-/** Milliseconds that the last streams of a decode engine may take until it changes. */
-const STREAM_MS: Millis = 6_000;
+/** Time that a decode engine may take to finish its streams before it changes its role. */
+const DECODE_DRAIN_MS: Millis = 6_000;
 
-/** Milliseconds over which a change must pay for what is lost while it is made. */
+/** Period in which the gain of a change must outweigh the loss while engines change their role. */
 const PAYBACK_MS: Millis = 30_000;
 
-/** Part of a role's engines that may change at a time. */
-const MOVED_PART = 0.25;
+/** Maximum share of a role's engines that are moved at once. */
+const MAX_MOVED_SHARE = 0.25;
 
 /**
- * Moves engines between prefill and decode to where requests would wait.
+ * Decides when to move engines between the prefill and the decode role.
  *
- * Made for engines that are split otherwise than the work: decode memory is full and requests are late
- * while prefill engines idle, or the reverse when prompts grow. The forecast replays what was asked
- * lately, with more than that and with the loss of an engine. The harm it must not do: move to and fro
- * with each burst, each time losing an engine for seconds; take the last engine of a role; act on
- * demand of which it has seen too little.
+ * Needed when the split of the engines doesn't match the demand: decode memory is full and requests
+ * are late while prefill engines idle, or the reverse when prompts grow. The forecast replays recent
+ * demand, also at higher levels and with lost engines. Decisions must not follow each burst, since a
+ * move takes an engine out of service for seconds; must leave each role at least one engine; and
+ * must not rely on too little recorded demand.
  */
 export class RoleShifter {
-  private wanted: EngineRole | undefined;
+  private targetRole: EngineRole | undefined;
 
-  private wantedSince: Millis = 0;
+  private targetSince: Millis = 0;
 
-  private engineNames = '';
+  private engineIds = '';
 
-  private changedAt: Millis = -Infinity;
+  private membershipChangedAt: Millis = -Infinity;
 
   /**
-   * Decides what is due.
+   * Decides which engines to move now.
    *
-   * @param view - Engines and demand.
+   * @param view - Snapshot of the pool.
    * @param now - Present time.
-   * @returns The engines to move now, or why none is moved.
+   * @returns The engines to move, or the reason why none is moved.
    */
   decide(view: RoleView, now: Millis): RoleDecision {
-    this.noteEngines(view.engines, now);
-    const requests = view.spans.reduce((sum, span) => sum + span.requests, 0);
-    if (requests < LEAST_REQUESTS || view.spans.length * DEMAND_SPAN_MS < LEAST_DEMAND_MS) {
+    this.trackMembership(view.engines, now);
+    const requests = view.spans.reduce((sum, bucket) => sum + bucket.requests, 0);
+    if (requests < MIN_REQUESTS || view.spans.length * DEMAND_SPAN_MS < MIN_DEMAND_MS) {
       return this.stay('little_demand');
     }
     if (view.engines.some((engine) => engine.isChanging)) return this.stay('moving');
-    if (now - this.changedAt < SETTLE_MS) return this.stay('engines_changed');
-    const forecast = forecastOf(view, requests);
-    const moved = forecast.wanted.prefillEngines - forecast.present.prefillEngines;
-    if (moved === 0 || !isWorth(view, forecast)) return this.stay('balanced', forecast);
-    return this.moveWhenLasting(view, forecast, now);
+    if (now - this.membershipChangedAt < SETTLE_MS) return this.stay('engines_changed');
+    const forecast = makeForecast(view, requests);
+    const change = forecast.wanted.prefillEngines - forecast.present.prefillEngines;
+    if (change === 0 || !isWorthwhile(view, forecast)) return this.stay('balanced', forecast);
+    return this.moveIfConfirmed(view, forecast, now);
   }
 
-  private moveWhenLasting(view: RoleView, forecast: RoleForecast, now: Millis): RoleDecision {
+  private moveIfConfirmed(view: RoleView, forecast: RoleForecast, now: Millis): RoleDecision {
     const { present, wanted } = forecast;
     const role = wanted.prefillEngines > present.prefillEngines ? 'prefill' : 'decode';
-    if (this.wanted !== role) {
-      this.wanted = role;
-      this.wantedSince = now;
+    if (this.targetRole !== role) {
+      this.targetRole = role;
+      this.targetSince = now;
     }
-    if (now - this.wantedSince < LASTING_MS + view.holdBackMs) {
+    if (now - this.targetSince < CONFIRMATION_MS + view.holdBackMs) {
       return { type: 'stay', reason: 'not_lasting', forecast };
     }
-    const engines = chooseMoved(
+    const engines = selectEngines(
       view.engines,
       role,
       Math.abs(wanted.prefillEngines - present.prefillEngines),
@@ -142,22 +143,22 @@
   }
 
   private stay(reason: StayReason, forecast?: RoleForecast): RoleDecision {
-    this.wanted = undefined;
+    this.targetRole = undefined;
     return { type: 'stay', reason, forecast };
   }
 
-  /** Notes when engines come, go, or end changing their role. */
-  private noteEngines(engines: readonly ShiftableEngine[], now: Millis): void {
-    const joined = engines
+  /** Records when engines last joined or left the pool. */
+  private trackMembership(engines: readonly ShiftableEngine[], now: Millis): void {
+    const ids = engines
       .map(({ id }) => id)
       .sort()
       .join();
-    if (joined !== this.engineNames && this.engineNames !== '') this.changedAt = now;
-    this.engineNames = joined;
+    if (ids !== this.engineIds && this.engineIds !== '') this.membershipChangedAt = now;
+    this.engineIds = ids;
   }
 }
 
-function forecastOf(view: RoleView, requests: number): RoleForecast {
+function makeForecast(view: RoleView, requests: number): RoleForecast {
   const count = (role: EngineRole): number =>
     view.engines.filter((engine) => engine.role === role).length;
   const present = { prefillEngines: count('prefill'), decodeEngines: count('decode') };
@@ -166,33 +167,37 @@
   return { present, wanted, lateNow, lateThen: expectedLate(view, wanted), requests };
 }
 
-/** Tells whether a change pays: engines that change their role are missing meanwhile. */
-function isWorth(view: RoleView, { present, wanted, lateNow, lateThen }: RoleForecast): boolean {
+/** Tells whether the gain of a change outweighs the capacity that is missing while it is made. */
+function isWorthwhile(
+  view: RoleView,
+  { present, wanted, lateNow, lateThen }: RoleForecast,
+): boolean {
   const gain = lateNow - lateThen;
-  const leastGain = Math.min(lateNow, 1 - lateNow) * LEAST_GAIN_PART;
-  if (gain < Math.max(LEAST_GAIN, leastGain)) return false;
-  const meanwhile = {
+  const minGain = Math.min(lateNow, 1 - lateNow) * MIN_RELATIVE_GAIN;
+  if (gain < Math.max(MIN_GAIN, minGain)) return false;
+  const duringChange = {
     prefillEngines: Math.min(present.prefillEngines, wanted.prefillEngines),
     decodeEngines: Math.min(present.decodeEngines, wanted.decodeEngines),
   };
-  const lost = Math.max(0, expectedLate(view, meanwhile) - lateNow);
-  // A decode engine ends its streams before it changes.
-  const awayMs = view.switchMs + (wanted.prefillEngines > present.prefillEngines ? STREAM_MS : 0);
-  return gain * PAYBACK_MS > lost * awayMs;
+  const loss = Math.max(0, expectedLate(view, duringChange) - lateNow);
+  // A decode engine finishes its streams before it changes its role.
+  const outageMs =
+    view.switchMs + (wanted.prefillEngines > present.prefillEngines ? DECODE_DRAIN_MS : 0);
+  return gain * PAYBACK_MS > loss * outageMs;
 }
 
-/** Gets the engines that lose least by a change, from the zone that has most of their role. */
-function chooseMoved(
+/** Selects engines to move from the zones with most engines of their role, least loaded first. */
+function selectEngines(
   engines: readonly ShiftableEngine[],
   role: EngineRole,
   count: number,
 ): readonly UpstreamId[] {
-  const givers = engines.filter((engine) => engine.role !== role);
-  const inZone = (zone: ZoneId): number => givers.filter((engine) => engine.zone === zone).length;
-  const most = Math.min(count, givers.length - 1, Math.ceil(givers.length * MOVED_PART));
-  return givers
+  const donors = engines.filter((engine) => engine.role !== role);
+  const inZone = (zone: ZoneId): number => donors.filter((engine) => engine.zone === zone).length;
+  const limit = Math.min(count, donors.length - 1, Math.ceil(donors.length * MAX_MOVED_SHARE));
+  return donors
     .filter((engine) => !engine.isFailing)
     .sort((a, b) => inZone(b.zone) - inZone(a.zone) || a.load - b.load)
-    .slice(0, Math.max(0, most))
+    .slice(0, Math.max(0, limit))
     .map(({ id }) => id);
 }
--- a/packages/decisions/src/shift/RoleSplit.ts
+++ b/packages/decisions/src/shift/RoleSplit.ts
@@ -3,53 +3,54 @@
 import { NO_DEMAND, sumDemand } from './DemandHistory.ts';
 import { forecastLate } from './forecastLate.ts';
 
-/** What a split of the engines between the roles is judged by. */
+/** Demand and engine speeds by which a split of the engines between the roles is rated. */
 export interface SplitGrounds {
+  /** Recorded demand, in buckets of fixed width. */
   readonly spans: readonly PoolDemand[];
-  /** Prompt tokens that one prefill engine reads in a millisecond. */
+  /** Prompt tokens that one prefill engine processes per millisecond. */
   readonly readPerMs: number;
   /** Memory that one decode engine has for running requests. */
   readonly memoryTokens: Tokens;
-  /** Milliseconds that an output token takes. */
+  /** Time per output token. */
   readonly tokenMs: Millis;
-  /** Milliseconds for which a request may wait and still be on time. */
+  /** Time for which a request may wait and still be on time. */
   readonly onTimeMs: Millis;
 }
 
-/** Engines of each role. */
+/** Number of engines of each role. */
 export interface RoleSplit {
   readonly prefillEngines: number;
   readonly decodeEngines: number;
 }
 
-/** Splits that are compared; with more engines than this, one engine more or less tells little. */
-const COMPARED_SPLITS = 16;
+/** Maximum number of splits compared; in large pools a single engine hardly changes the forecast. */
+const MAX_COMPARED_SPLITS = 16;
 
-/** Requests whose memory stays unused on an engine: a request is not split between two of them. */
-const UNUSED_REQUESTS = 0.5;
+/** Memory left unused per engine, in mean requests: a request can't be split between two engines. */
+const UNUSED_REQUESTS_PER_ENGINE = 0.5;
 
-/** Wait that a request may have at least, in milliseconds, however long its prompt is read. */
+/** Minimum allowed wait, even if the prefill of a mean prompt takes up the allowed time. */
 const MIN_WAIT_MS: Millis = 50;
 
-interface Weighed {
+interface Weighted {
   readonly weight: number;
 }
 
 /**
- * Demand that is reckoned with, against what is remembered. Callers come in bursts of about twice the
- * usual for some seconds, and the first one comes before any was seen.
+ * Demand levels rated, relative to the recorded demand. Bursts reach about twice the usual demand
+ * for several seconds, and the first one arrives before any has been recorded.
  */
-const FACTORS: readonly (Weighed & { readonly factor: number })[] = [
+const DEMAND_LEVELS: readonly (Weighted & { readonly factor: number })[] = [
   { factor: 1, weight: 0.5 },
   { factor: 1.5, weight: 0.3 },
   { factor: 2, weight: 0.2 },
 ];
 
 /**
- * Losses of engines that are reckoned with: a crash takes one, or a sixth of many, for seconds. A split
- * whose last prefill engine is lost stops nearly all requests, so it must be worth that risk.
+ * Engine losses rated: a crash takes out one engine, or a sixth of many, for seconds. Losing the
+ * only prefill engine stops nearly all requests, so a split with one must be worth that risk.
  */
-const LOSSES: readonly (Weighed & {
+const ENGINE_LOSSES: readonly (Weighted & {
   readonly prefillEngines: number;
   readonly decodeEngines: number;
 })[] = [
@@ -58,84 +59,90 @@
   { prefillEngines: 0, decodeEngines: 1, weight: 0.15 },
 ];
 
-/** Part of the engines of a role that a crash takes. */
-const LOST_PART = 1 / 6;
+/** Share of a role's engines that a crash takes out. */
+const LOST_SHARE = 1 / 6;
 
 /**
- * What decode engines read of prompts where no prefill engine is there, against prefill engines: half
- * the speed, and for a tenth of the time, since their streams stand still meanwhile.
+ * Prefill speed of a decode engine relative to a prefill engine, used if no prefill engine is left:
+ * half the speed, for a tenth of the time, since its streams stall during a prefill.
  */
-const DECODE_READ_PART = 0.05;
+const DECODE_PREFILL_SPEED = 0.05;
 
 /**
- * Gets the part of requests that would be late with a split, over all that is reckoned with.
+ * Gets the expected share of late requests with a split, over all demand levels and engine losses.
  *
- * @param grounds - Demand and engines.
- * @param split - Engines of each role.
- * @returns A part from 0 to 1.
+ * @param inputs - Demand and engine speeds.
+ * @param split - Number of engines of each role.
+ * @returns Share of requests, from 0 to 1.
  */
-export function expectedLate(grounds: SplitGrounds, split: RoleSplit): number {
-  return LOSSES.reduce((sum, loss) => sum + loss.weight * lateWith(grounds, lose(split, loss)), 0);
+export function expectedLate(inputs: SplitGrounds, split: RoleSplit): number {
+  return ENGINE_LOSSES.reduce(
+    (sum, loss) => sum + loss.weight * lateShareOf(inputs, applyLoss(split, loss)),
+    0,
+  );
 }
 
 /**
- * Gets the split with the fewest late requests; of equals, the one that is nearest to the present one.
+ * Finds the split with the fewest late requests; of equals, the one nearest to the current split.
  *
- * @param grounds - Demand and engines.
- * @param present - Engines of each role now.
- * @returns The split; each role keeps one engine.
+ * @param inputs - Demand and engine speeds.
+ * @param current - Current number of engines of each role.
+ * @returns The split, with at least one engine of each role.
  */
-export function bestSplit(grounds: SplitGrounds, present: RoleSplit): RoleSplit {
-  const all = present.prefillEngines + present.decodeEngines;
-  const steps = Math.min(all, COMPARED_SPLITS);
-  const compared = Array.from({ length: steps }, (_, i) => Math.round((i / steps) * all));
-  const rated = [...new Set([...compared, present.prefillEngines])]
-    .filter((prefillEngines) => prefillEngines > 0 && prefillEngines < all)
+export function bestSplit(inputs: SplitGrounds, current: RoleSplit): RoleSplit {
+  const total = current.prefillEngines + current.decodeEngines;
+  const steps = Math.min(total, MAX_COMPARED_SPLITS);
+  const compared = Array.from({ length: steps }, (_, i) => Math.round((i / steps) * total));
+  const rated = [...new Set([...compared, current.prefillEngines])]
+    .filter((prefillEngines) => prefillEngines > 0 && prefillEngines < total)
     .map((prefillEngines) => ({
-      split: { prefillEngines, decodeEngines: all - prefillEngines },
-      late: expectedLate(grounds, { prefillEngines, decodeEngines: all - prefillEngines }),
-      distance: Math.abs(prefillEngines - present.prefillEngines),
+      split: { prefillEngines, decodeEngines: total - prefillEngines },
+      lateShare: expectedLate(inputs, { prefillEngines, decodeEngines: total - prefillEngines }),
+      distance: Math.abs(prefillEngines - current.prefillEngines),
     }));
-  const [best] = rated.sort((a, b) => a.late - b.late || a.distance - b.distance);
-  return best?.split ?? present;
+  const [best] = rated.sort((a, b) => a.lateShare - b.lateShare || a.distance - b.distance);
+  return best?.split ?? current;
 }
 
-function lateWith(grounds: SplitGrounds, { prefillEngines, decodeEngines }: RoleSplit): number {
-  const { spans, onTimeMs, tokenMs } = grounds;
+function lateShareOf(inputs: SplitGrounds, { prefillEngines, decodeEngines }: RoleSplit): number {
+  const { spans, onTimeMs, tokenMs } = inputs;
   const readPerMs =
-    grounds.readPerMs * (prefillEngines > 0 ? prefillEngines : decodeEngines * DECODE_READ_PART);
-  const sizes = meanRequest(spans);
-  const usable = Math.max(1, grounds.memoryTokens - sizes.memoryTokens * UNUSED_REQUESTS);
+    inputs.readPerMs * (prefillEngines > 0 ? prefillEngines : decodeEngines * DECODE_PREFILL_SPEED);
+  const mean = meanRequest(spans);
+  const usable = Math.max(1, inputs.memoryTokens - mean.memoryTokens * UNUSED_REQUESTS_PER_ENGINE);
   const capacity = { readPerMs, memoryTokens: usable * decodeEngines, tokenMs };
-  // Its own prompt is read within the time that a request has.
-  const readMs = sizes.promptTokens / grounds.readPerMs;
-  const waitMs = Math.max(MIN_WAIT_MS, onTimeMs - readMs);
-  return FACTORS.reduce(
+  // The allowed time includes the prefill of the request's own prompt.
+  const prefillMs = mean.promptTokens / inputs.readPerMs;
+  const maxWaitMs = Math.max(MIN_WAIT_MS, onTimeMs - prefillMs);
+  return DEMAND_LEVELS.reduce(
     (sum, { factor, weight }) =>
-      sum + weight * forecastLate(spans, capacity, { onTimeMs: waitMs, factor }),
+      sum + weight * forecastLate(spans, capacity, { onTimeMs: maxWaitMs, factor }),
     0,
   );
 }
 
 function meanRequest(
-  spans: readonly PoolDemand[],
+  buckets: readonly PoolDemand[],
 ): Pick<PoolDemand, 'promptTokens' | 'memoryTokens'> {
-  const all = spans.reduce(sumDemand, NO_DEMAND);
-  const requests = Math.max(1, all.requests);
+  const total = buckets.reduce(sumDemand, NO_DEMAND);
+  const requests = Math.max(1, total.requests);
   return {
-    promptTokens: all.promptTokens / requests,
-    memoryTokens: all.memoryTokens / requests,
+    promptTokens: total.promptTokens / requests,
+    memoryTokens: total.memoryTokens / requests,
   };
 }
 
-function lose(split: RoleSplit, loss: RoleSplit): RoleSplit {
-  const lost = (engines: number, part: number): number =>
-    part === 0 ? 0 : Math.max(1, Math.round(engines * LOST_PART));
+function applyLoss(split: RoleSplit, loss: RoleSplit): RoleSplit {
+  const countLost = (engines: number, crashes: number): number =>
+    crashes === 0 ? 0 : Math.max(1, Math.round(engines * LOST_SHARE));
   return {
     prefillEngines: Math.max(
       0,
-      split.prefillEngines - lost(split.prefillEngines, loss.prefillEngines),
+      split.prefillEngines - countLost(split.prefillEngines, loss.prefillEngines),
+    ),
+    decodeEngines: Math.max(
+      0,
+      split.decodeEngines - countLost(split.decodeEngines, loss.decodeEngines),
     ),
-    decodeEngines: Math.max(0, split.decodeEngines - lost(split.decodeEngines, loss.decodeEngines)),
   };
 }
--- a/packages/decisions/src/shift/forecastLate.ts
+++ b/packages/decisions/src/shift/forecastLate.ts
@@ -2,99 +2,99 @@
 import type { PoolDemand } from './DemandHistory.ts';
 import { DEMAND_SPAN_MS, NO_DEMAND, scaleDemand, sumDemand } from './DemandHistory.ts';
 
-/** What the engines of both roles can do together. */
+/** Combined capacity of the engines of both roles. */
 export interface PoolCapacity {
-  /** Prompt tokens that are read in a millisecond. */
+  /** Prompt tokens prefilled per millisecond. */
   readonly readPerMs: number;
-  /** Memory for running requests. */
+  /** Memory of all decode engines for running requests. */
   readonly memoryTokens: Tokens;
-  /** Milliseconds that an output token takes. */
+  /** Time per output token. */
   readonly tokenMs: Millis;
 }
 
-/** How a forecast is made. */
+/** Options of {@link forecastLate}. */
 export interface ForecastOptions {
-  /** Milliseconds for which a request may wait and still be on time. */
+  /** Time for which a request may wait and still be on time. */
   readonly onTimeMs: Millis;
-  /** By how much the demand is multiplied. */
+  /** Factor by which the recorded demand is multiplied. */
   readonly factor: number;
 }
 
 /**
- * Milliseconds of demand that are played at least; less is played again. Memory fills over as long as a
- * request runs, so a short stretch, played once into empty engines, would make nobody late.
+ * Minimum length of the replay; a shorter history is repeated. Memory fills up over the run time of
+ * a request, so a short history replayed once on empty engines would show no late requests.
  */
-const LEAST_PLAYED_MS: Millis = 20_000;
+const MIN_REPLAY_MS: Millis = 20_000;
 
-interface Flow {
+interface ReplayState {
   readonly waiting: PoolDemand;
   readonly running: PoolDemand;
-  /** Requests that were late so far. */
+  /** Number of requests that were late so far. */
   readonly late: number;
 }
 
 /**
- * Tells which part of the remembered requests would have been late with other engines.
+ * Forecasts the share of late requests by replaying recorded demand against a given capacity.
  *
- * Demand flows through both stages as a liquid would, since a request begins only where it gets both:
- * prompts are read at a fixed rate, memory is given back as fast as the requests in it end. What would
- * wait for longer than requests may is late, and is taken out: late requests let the others pass, and
- * take neither stage's time from them.
+ * A fluid approximation: a request starts once it gets both prefill and decode memory, prompts are
+ * prefilled at a fixed rate, and memory is freed as fast as the running requests end. Demand that
+ * would wait for longer than allowed is late and leaves the queue, since late requests yield to the
+ * others and take no capacity from them at either stage.
  *
- * @param spans - Demand in spans of {@link DEMAND_SPAN_MS}.
- * @param capacity - The engines.
- * @param opts - Patience, and how much more is asked than was.
- * @returns A part from 0 to 1.
+ * @param buckets - Demand in buckets of {@link DEMAND_SPAN_MS}.
+ * @param capacity - Capacity of the engines.
+ * @param opts - Allowed wait and demand factor.
+ * @returns Share of late requests, from 0 to 1.
  */
 export function forecastLate(
-  spans: readonly PoolDemand[],
+  buckets: readonly PoolDemand[],
   capacity: PoolCapacity,
   opts: ForecastOptions,
 ): number {
-  const requests = spans.reduce((sum, span) => sum + span.requests, 0);
+  const requests = buckets.reduce((sum, bucket) => sum + bucket.requests, 0);
   if (requests === 0) return 0;
-  const times = Math.ceil(LEAST_PLAYED_MS / (spans.length * DEMAND_SPAN_MS));
-  const played = Array.from({ length: times }, () => spans).flat();
-  const start: Flow = { waiting: NO_DEMAND, running: NO_DEMAND, late: 0 };
-  const end = played.reduce((flow, span) => flowOn(flow, span, capacity, opts), start);
-  return Math.min(1, end.late / (requests * times * opts.factor));
+  const repeats = Math.ceil(MIN_REPLAY_MS / (buckets.length * DEMAND_SPAN_MS));
+  const replayed = Array.from({ length: repeats }, () => buckets).flat();
+  const start: ReplayState = { waiting: NO_DEMAND, running: NO_DEMAND, late: 0 };
+  const end = replayed.reduce((state, bucket) => advance(state, bucket, capacity, opts), start);
+  return Math.min(1, end.late / (requests * repeats * opts.factor));
 }
 
-function flowOn(
-  { waiting, running, late }: Flow,
-  span: PoolDemand,
+function advance(
+  { waiting, running, late }: ReplayState,
+  bucket: PoolDemand,
   { readPerMs, memoryTokens, tokenMs }: PoolCapacity,
   { onTimeMs, factor }: ForecastOptions,
-): Flow {
-  const asking = sumDemand(waiting, scaleDemand(span, factor));
-  const endedPart = Math.min(1, DEMAND_SPAN_MS / holdMs(running, tokenMs));
-  const still = scaleDemand(running, 1 - endedPart);
-  const free = Math.max(0, memoryTokens - still.memoryTokens);
-  const begunPart = Math.min(
-    partOf(free, asking.memoryTokens),
-    partOf(readPerMs * DEMAND_SPAN_MS, asking.promptTokens),
+): ReplayState {
+  const queued = sumDemand(waiting, scaleDemand(bucket, factor));
+  const endedShare = Math.min(1, DEMAND_SPAN_MS / meanHoldMs(running, tokenMs));
+  const continuing = scaleDemand(running, 1 - endedShare);
+  const free = Math.max(0, memoryTokens - continuing.memoryTokens);
+  const startedShare = Math.min(
+    servableShare(free, queued.memoryTokens),
+    servableShare(readPerMs * DEMAND_SPAN_MS, queued.promptTokens),
   );
-  const nowRunning = sumDemand(still, scaleDemand(asking, begunPart));
-  // While all memory is in use, it comes back at the rate at which requests end.
-  const soonFree = (memoryTokens / holdMs(nowRunning, tokenMs)) * onTimeMs;
-  const soonPart = Math.min(
-    partOf(soonFree, asking.memoryTokens),
-    partOf(readPerMs * onTimeMs, asking.promptTokens),
+  const nowRunning = sumDemand(continuing, scaleDemand(queued, startedShare));
+  // Once all memory is in use, it is freed at the rate at which requests end.
+  const freedInTime = (memoryTokens / meanHoldMs(nowRunning, tokenMs)) * onTimeMs;
+  const inTimeShare = Math.min(
+    servableShare(freedInTime, queued.memoryTokens),
+    servableShare(readPerMs * onTimeMs, queued.promptTokens),
   );
-  const latePart = Math.max(0, 1 - begunPart - soonPart);
+  const lateShare = Math.max(0, 1 - startedShare - inTimeShare);
   return {
-    waiting: scaleDemand(asking, 1 - begunPart - latePart),
+    waiting: scaleDemand(queued, 1 - startedShare - lateShare),
     running: nowRunning,
-    late: late + asking.requests * latePart,
+    late: late + queued.requests * lateShare,
   };
 }
 
-/** Gets for how long requests hold their memory, on average over the memory. */
-function holdMs({ memoryTokens, memorySteps }: PoolDemand, tokenMs: Millis): Millis {
+/** Gets for how long requests hold their memory, as a mean weighted by memory. */
+function meanHoldMs({ memoryTokens, memorySteps }: PoolDemand, tokenMs: Millis): Millis {
   return memoryTokens > 0 ? Math.max(1, (memorySteps / memoryTokens) * tokenMs) : 1;
 }
 
-/** Gets which part of what is asked can be given. */
-function partOf(given: Tokens, asked: Tokens): number {
-  return asked > 0 ? Math.min(1, given / asked) : 1;
+/** Gets the share of a demand that a supply covers. */
+function servableShare(supply: Tokens, demand: Tokens): number {
+  return demand > 0 ? Math.min(1, supply / demand) : 1;
 }
--- a/packages/decisions/tests/shift/DemandHistory.test.ts
+++ b/packages/decisions/tests/shift/DemandHistory.test.ts
@@ -9,9 +9,9 @@
   Array.from({ length: count }, () => ONE).reduce(sumDemand, NO_DEMAND);
 
 const requestsIn = (history: DemandHistory, now: number): number =>
-  history.getSpans(now).reduce((sum, span) => sum + span.requests, 0);
+  history.getSpans(now).reduce((sum, bucket) => sum + bucket.requests, 0);
 
-test('what several hosts count is added up in the span in which it is heard', () => {
+test('totals of several hosts are added up in the bucket in which they are received', () => {
   const history = new DemandHistory();
   history.receive('a', 's', NO_DEMAND, 0);
   history.receive('b', 's', NO_DEMAND, 0);
@@ -19,12 +19,12 @@
   history.receive('b', 's', times(3), 150);
   history.receive('a', 's', times(4), 250);
   assert.deepEqual(
-    history.getSpans(400).map((span) => span.requests),
+    history.getSpans(400).map((bucket) => bucket.requests),
     [5, 2],
   );
 });
 
-// Datagrams are lost. The next count holds what the lost one said, so nothing is missing.
+// Totals are cumulative, so the one after a lost datagram includes what that reported.
 test('a lost message leaves no gap', () => {
   const history = new DemandHistory();
   history.receive('a', 's', NO_DEMAND, 0);
@@ -32,23 +32,23 @@
   assert.equal(requestsIn(history, 600), 7);
 });
 
-// A host that has served for hours is heard for the first time by one that has just started. What came
-// to it in all that time must not look like a burst.
-test('a host that is heard for the first time brings no burst', () => {
+// To a newly started host, the first total of a host that has served for hours must not look like a
+// burst.
+test('the first total of a host is no demand', () => {
   const history = new DemandHistory();
   history.receive('a', 's', times(5_000), 100);
   history.receive('a', 's', times(5_002), 300);
   assert.equal(requestsIn(history, 600), 2);
 });
 
-test('a host that starts anew counts from zero', () => {
+test('the total of a restarted host is counted from zero', () => {
   const history = new DemandHistory();
   history.receive('a', 's1', times(10), 0);
   history.receive('a', 's2', times(3), 300);
   assert.equal(requestsIn(history, 600), 3);
 });
 
-test('what is older than half a minute is forgotten', () => {
+test('demand older than half a minute is dropped', () => {
   const history = new DemandHistory();
   history.receive('a', 's', NO_DEMAND, 0);
   history.receive('a', 's', times(3), 100);
