--- a/packages/decisions/tests/support/demand.ts
+++ b/packages/decisions/tests/support/demand.ts
@@ -3,25 +3,25 @@
 import type { PoolDemand } from '@camphorvane/decisions';
 import { DEMAND_SPAN_MS, NO_DEMAND, sumDemand } from '@camphorvane/decisions';
 
-/** Requests of one kind. */
+/** Token counts of requests of one kind. */
 export interface RequestShape {
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** Memory that such a request holds on average. */
+/** Gets the memory that a request holds on average while it runs, in tokens. */
 export function memoryOf({ promptTokens, outputTokens }: RequestShape): number {
   return promptTokens + outputTokens * 0.75;
 }
 
 /**
- * Makes spans of demand: requests come in threes, at random times.
+ * Makes buckets of demand in which requests arrive in groups of three at random times.
  *
- * @param shape - The requests.
- * @param perSecond - Requests a second at a time.
- * @param forMs - Length in milliseconds.
- * @param seed - Draws times and sizes.
- * @returns The spans.
+ * @param shape - Token counts of each request.
+ * @param perSecond - Gets the mean requests per second at a time.
+ * @param forMs - Length of the demand.
+ * @param seed - Seed of the arrival times.
+ * @returns The buckets.
  */
 export function makeSpans(
   shape: RequestShape,
@@ -38,8 +38,8 @@
     memorySteps: memoryTokens * shape.outputTokens,
   };
   return Array.from({ length: Math.floor(forMs / DEMAND_SPAN_MS) }, (_, i) => {
-    const clumps = (perSecond(i * DEMAND_SPAN_MS) * DEMAND_SPAN_MS) / 1_000 / 3;
-    const draws = Array.from({ length: 10 }, () => random.next() < clumps / 10);
+    const groups = (perSecond(i * DEMAND_SPAN_MS) * DEMAND_SPAN_MS) / 1_000 / 3;
+    const draws = Array.from({ length: 10 }, () => random.next() < groups / 10);
     return draws.filter(Boolean).reduce((sum) => [one, one, one].reduce(sumDemand, sum), NO_DEMAND);
   });
 }
--- a/packages/decisions/tests/support/pool.ts
+++ b/packages/decisions/tests/support/pool.ts
@@ -1,12 +1,12 @@
 import { type EngineConfig, type EngineRole, RandomSource } from '@camphorvane/core';
 import { FairPoolScheduler, type PoolShape, type WorkItem } from '@camphorvane/decisions';
 
-/** Makes an engine with a role and some memory. */
+/** Makes the configuration of an engine. */
 export function engine(id: string, role: EngineRole, memoryPieces = 20): EngineConfig {
   return { id, role, memoryPieces, url: 'http://127.0.0.1:1', zone: 'a', checksFencing: true };
 }
 
-/** Makes a pool with a number of engines of each role. */
+/** Makes a pool with engines `p0`, `p1`, ... for prefill and `d0`, `d1`, ... for decode. */
 export function pool(prefills: number, decodes: number, memoryPieces = 20): PoolShape {
   const ids = (count: number): readonly number[] => [...Array(count).keys()];
   return {
@@ -25,7 +25,7 @@
   return new FairPoolScheduler(shape, { random: new RandomSource(1), reservationPrefix: 'r' });
 }
 
-/** Makes a request of one piece, with what a test changes. */
+/** Makes a request that needs one piece of memory, with the given changes. */
 export function work(request: string, change: Partial<WorkItem> = {}): WorkItem {
   return {
     request,
