--- a/packages/decisions/src/structures/IndexedHeap.ts
+++ b/packages/decisions/src/structures/IndexedHeap.ts
@@ -1,15 +1,15 @@
 interface Entry<Id> {
   readonly id: Id;
   key: number;
-  /** Order of insertion, so that equal keys come out first in, first out. */
-  readonly order: number;
+  /** Insertion number, so that entries with equal keys are ordered first in, first out. */
+  readonly sequence: number;
 }
 
 /**
- * A binary min-heap whose entries can be found, moved and removed by id in logarithmic time.
+ * A binary min-heap whose entries can be updated and removed by id in logarithmic time.
  *
- * Every ordered choice of the scheduler (which team, which engine, which deadline) stands on it, so
- * that a decision's cost grows with the logarithm of the pool and not with the pool.
+ * The scheduler uses it for every ordered choice (team, engine, deadline), so that the cost of a
+ * decision grows with the logarithm of the pool size.
  */
 export class IndexedHeap<Id> {
   private readonly entries: Entry<Id>[] = [];
@@ -28,35 +28,35 @@
     return this.positions.has(id);
   }
 
-  /** Gets the id with the smallest key, if there is any. */
+  /** Gets the id with the smallest key; undefined if the heap is empty. */
   peek(): Id | undefined {
     return this.entries[0]?.id;
   }
 
-  /** Gets the smallest key, if there is any. */
+  /** Gets the smallest key; undefined if the heap is empty. */
   peekKey(): number | undefined {
     return this.entries[0]?.key;
   }
 
   /**
-   * Adds an id, or gives it another key.
+   * Adds an id, or changes its key.
    *
-   * @param id - What is ordered.
-   * @param key - Its place in the order; smaller comes first.
+   * @param id - The id.
+   * @param key - Sort key; smaller keys come first.
    */
   set(id: Id, key: number): void {
     const at = this.positions.get(id);
-    const known = at === undefined ? undefined : this.entries[at];
-    if (at === undefined || known === undefined) {
+    const entry = at === undefined ? undefined : this.entries[at];
+    if (at === undefined || entry === undefined) {
       this.insert(id, key);
       return;
     }
-    if (known.key === key) return;
-    known.key = key;
-    this.sink(this.rise(at));
+    if (entry.key === key) return;
+    entry.key = key;
+    this.siftDown(this.siftUp(at));
   }
 
-  /** Takes an id out; ids that are not there are ignored. */
+  /** Removes an id; unknown ids are ignored. */
   delete(id: Id): void {
     const at = this.positions.get(id);
     if (at === undefined) return;
@@ -64,24 +64,24 @@
     const last = this.entries.pop();
     if (last === undefined || at === this.entries.length) return;
     this.put(at, last);
-    this.sink(this.rise(at));
+    this.siftDown(this.siftUp(at));
   }
 
   /**
-   * Finds the first entry, in the order of keys, that fits.
+   * Finds the first id, in the order of keys, that satisfies a predicate.
    *
-   * @param fits - Tells whether an id will do.
-   * @param limit - Most entries to look at, which bounds the cost.
-   * @returns The id, or undefined where none of those looked at fits.
+   * @param predicate - Tests an id.
+   * @param limit - Maximum number of entries to test, which bounds the cost.
+   * @returns The id, or undefined if none of the tested ones satisfies the predicate.
    */
-  find(fits: (id: Id) => boolean, limit: number): Id | undefined {
+  find(predicate: (id: Id) => boolean, limit: number): Id | undefined {
     const frontier = this.entries.length > 0 ? [0] : [];
-    let looked = 0;
-    while (frontier.length > 0 && looked < limit) {
-      const at = this.takeSmallest(frontier);
+    let tested = 0;
+    while (frontier.length > 0 && tested < limit) {
+      const at = this.popSmallest(frontier);
       const entry = this.entries[at];
-      if (entry !== undefined && fits(entry.id)) return entry.id;
-      looked += 1;
+      if (entry !== undefined && predicate(entry.id)) return entry.id;
+      tested += 1;
       frontier.push(...[2 * at + 1, 2 * at + 2].filter((child) => child < this.entries.length));
     }
     return undefined;
@@ -89,12 +89,12 @@
 
   private insert(id: Id, key: number): void {
     this.inserted += 1;
-    this.entries.push({ id, key, order: this.inserted });
+    this.entries.push({ id, key, sequence: this.inserted });
     this.positions.set(id, this.entries.length - 1);
-    this.rise(this.entries.length - 1);
+    this.siftUp(this.entries.length - 1);
   }
 
-  private takeSmallest(frontier: number[]): number {
+  private popSmallest(frontier: number[]): number {
     const best = frontier.reduce((least, at, index) => {
       const other = frontier[least] ?? at;
       return this.precedes(at, other) ? index : least;
@@ -106,10 +106,10 @@
     const left = this.entries[a];
     const right = this.entries[b];
     if (left === undefined || right === undefined) return false;
-    return left.key < right.key || (left.key === right.key && left.order < right.order);
+    return left.key < right.key || (left.key === right.key && left.sequence < right.sequence);
   }
 
-  private rise(start: number): number {
+  private siftUp(start: number): number {
     let at = start;
     while (at > 0) {
       const parent = Math.floor((at - 1) / 2);
@@ -120,7 +120,7 @@
     return at;
   }
 
-  private sink(start: number): void {
+  private siftDown(start: number): void {
     let at = start;
     let child = this.smallerChild(at);
     while (child !== undefined && this.precedes(child, at)) {
