--- a/packages/decisions/src/ledger/LinkLedger.ts
+++ b/packages/decisions/src/ledger/LinkLedger.ts
@@ -8,62 +8,62 @@
 }
 
 /**
- * The account of the links into decode engines: in which spans each is taken by transfers.
+ * Tracks when the network links into decode engines are booked for transfers.
  *
- * Made for prompts of tens of thousands of tokens beside short ones. A prefill's result lives less
- * than a second, so a prefill whose transfer can't start in that time is work thrown away. The
- * spans are kept apart, because a long prompt books its transfer for the time when its prefill is
- * over: a lookup that is ready before then goes through the gap and need not wait behind it.
+ * A prefill engine keeps a result for less than a second, so a prefill whose transfer can't start in
+ * that time is wasted. Bookings are separate intervals rather than one end time: a prompt of tens of
+ * thousands of tokens books its transfer for the end of its prefill, and a lookup that is ready
+ * before then uses the gap instead of waiting behind it.
  */
 export class LinkLedger {
-  /** Bookings by engine in order of time; as many as prefills under way, so short. */
+  /** Bookings by engine, in order of time; about one per prefill in flight, so the lists are short. */
   private readonly bookings = new Map<UpstreamId, readonly Booking[]>();
 
-  private rate: number;
+  private piecesPerSecond: number;
 
-  /** @param piecesPerSecond - Rate of the link into each decode engine. */
+  /** @param piecesPerSecond - Bandwidth of the link into each decode engine. */
   constructor(piecesPerSecond: number) {
-    this.rate = piecesPerSecond;
+    this.piecesPerSecond = piecesPerSecond;
   }
 
-  /** Sets the rate of the links, in pieces a second. */
+  /** Sets the bandwidth of each link, in pieces per second. */
   setRate(piecesPerSecond: number): void {
-    this.rate = piecesPerSecond;
+    this.piecesPerSecond = piecesPerSecond;
   }
 
-  /** Gets how long a transfer takes on a free link, in milliseconds. */
+  /** Gets the duration of a transfer on an idle link. */
   getTransferMs(pieces: Pieces): Millis {
-    return (pieces / this.rate) * MS_PER_SECOND;
+    return (pieces / this.piecesPerSecond) * MS_PER_SECOND;
   }
 
-  /** Gets how long a transfer that is ready at some time waits for the link. */
+  /** Gets how long a transfer that is ready at a given time has to wait for the link. */
   getWaitMs(engine: UpstreamId, pieces: Pieces, readyAt: Millis): Millis {
-    const needed = this.getTransferMs(pieces);
+    const transferMs = this.getTransferMs(pieces);
     const start = (this.bookings.get(engine) ?? []).reduce(
-      (from, booking) => (booking.start - from >= needed ? from : Math.max(from, booking.end)),
+      (from, booking) => (booking.start - from >= transferMs ? from : Math.max(from, booking.end)),
       readyAt,
     );
     return start - readyAt;
   }
 
   /**
-   * Books the link for one transfer, in the first gap that is long enough.
+   * Books the link for a transfer, in the first gap that is long enough.
    *
    * @param engine - The decode engine.
    * @param pieces - Pieces to transfer.
-   * @param readyAt - When the prefill is expected to be over.
-   * @param now - Present time; bookings that are over are dropped.
+   * @param readyAt - Expected end of the prefill.
+   * @param now - Present time; earlier bookings are dropped.
    */
   take(engine: UpstreamId, pieces: Pieces, readyAt: Millis, now: Millis): void {
     const start = readyAt + this.getWaitMs(engine, pieces, readyAt);
-    const booked = { start, end: start + this.getTransferMs(pieces) };
+    const booking = { start, end: start + this.getTransferMs(pieces) };
     const kept = (this.bookings.get(engine) ?? []).filter((other) => other.end > now);
     const after = kept.findIndex((other) => other.start >= start);
     const at = after < 0 ? kept.length : after;
-    this.bookings.set(engine, [...kept.slice(0, at), booked, ...kept.slice(at)]);
+    this.bookings.set(engine, [...kept.slice(0, at), booking, ...kept.slice(at)]);
   }
 
-  /** Forgets an engine. */
+  /** Removes an engine and its bookings. */
   close(engine: UpstreamId): void {
     this.bookings.delete(engine);
   }
--- a/packages/decisions/src/ledger/MemoryLedger.ts
+++ b/packages/decisions/src/ledger/MemoryLedger.ts
@@ -4,45 +4,46 @@
 interface Account {
   capacity: Pieces;
   reserved: Pieces;
-  holders: number;
-  /** Memory that a report showed and no reservation explains. */
-  foreign: Pieces;
-  /** Most memory reserved since the last report, and between the two before it. */
+  reservationCount: number;
+  /** Memory in use according to the last load report that no reservation accounts for. */
+  unaccounted: Pieces;
+  /** Maximum of reserved memory since the last load report. */
   peak: Pieces;
-  earlierPeak: Pieces;
+  /** Maximum of reserved memory between the last two load reports. */
+  previousPeak: Pieces;
 }
 
-interface Hold {
+interface Reservation {
   readonly engine: UpstreamId;
   readonly pieces: Pieces;
 }
 
 /**
- * The exact account of decode memory: who holds how many pieces, and until when.
+ * Exact record of reserved decode memory: which reservation holds how many pieces, until when.
  *
- * Made for the peak, when a decode engine has room for about twenty requests. Reports of load lag,
- * so two requests placed by the same report would both find the last free pieces; the second one's
- * prefill is then evicted and wasted. A reservation made here before the prefill prevents that.
+ * At peak load a decode engine has room for about twenty requests, and load reports lag: two requests
+ * placed by the same report could both claim the last free pieces, and the prefill result of the
+ * second would be evicted and wasted. Reserving memory before the prefill prevents that.
  */
 export class MemoryLedger {
   private readonly accounts = new Map<UpstreamId, Account>();
 
-  private readonly holds = new Map<ReservationId, Hold>();
+  private readonly reservations = new Map<ReservationId, Reservation>();
 
   private readonly expiries = new IndexedHeap<ReservationId>();
 
-  /** Gets how many reservations hold memory. */
+  /** Gets the number of reservations. */
   get size(): number {
-    return this.holds.size;
+    return this.reservations.size;
   }
 
-  /** Gets when the next reservation runs out, if there is any. */
+  /** Gets when the next reservation expires; undefined if there is none. */
   get nextExpiry(): Millis | undefined {
     return this.expiries.peekKey();
   }
 
   /**
-   * Opens the account of an engine, or changes its capacity; what is held stays held.
+   * Opens the account of an engine, or changes its capacity; existing reservations stay.
    *
    * @param engine - The engine.
    * @param capacity - Its memory in pieces; 0 for an engine that takes no new work.
@@ -53,122 +54,118 @@
       account.capacity = capacity;
       return;
     }
-    const empty = { reserved: 0, holders: 0, foreign: 0, peak: 0, earlierPeak: 0 };
+    const empty = { reserved: 0, reservationCount: 0, unaccounted: 0, peak: 0, previousPeak: 0 };
     this.accounts.set(engine, { capacity, ...empty });
   }
 
-  /** Closes an engine's account to new reservations and forgets it once nothing is held. */
+  /** Closes an engine's account to new reservations; it is removed with its last reservation. */
   close(engine: UpstreamId): void {
     const account = this.accounts.get(engine);
     if (account === undefined) return;
     account.capacity = 0;
-    if (account.holders === 0) this.accounts.delete(engine);
+    if (account.reservationCount === 0) this.accounts.delete(engine);
   }
 
-  /** Gets the pieces that may still be reserved on an engine; 0 for unknown engines. */
+  /** Gets the pieces that can still be reserved on an engine; 0 for unknown engines. */
   getFree(engine: UpstreamId): Pieces {
     const account = this.accounts.get(engine);
     if (account === undefined) return 0;
-    return Math.max(0, account.capacity - account.reserved - account.foreign);
+    return Math.max(0, account.capacity - account.reserved - account.unaccounted);
   }
 
-  /** Gets the pieces held by reservations on an engine. */
+  /** Gets the pieces reserved on an engine. */
   getReserved(engine: UpstreamId): Pieces {
     return this.accounts.get(engine)?.reserved ?? 0;
   }
 
-  /** Gets how many reservations an engine carries. */
+  /** Gets the number of reservations on an engine. */
   getHolders(engine: UpstreamId): number {
-    return this.accounts.get(engine)?.holders ?? 0;
+    return this.accounts.get(engine)?.reservationCount ?? 0;
   }
 
   /**
-   * Reserves memory, if there is room.
+   * Reserves memory on an engine if enough is free.
    *
-   * @param reservation - A new id.
+   * @param id - Id of the new reservation.
    * @param engine - The decode engine.
    * @param pieces - Pieces for the prompt and all allowed output.
-   * @param expiresAt - When the reservation runs out unless it is renewed.
-   * @returns False where the pieces are not free; nothing is reserved then.
+   * @param expiresAt - Expiry of the reservation unless it is extended.
+   * @returns False if the pieces are not free or the id exists; nothing is reserved then.
    */
-  reserve(
-    reservation: ReservationId,
-    engine: UpstreamId,
-    pieces: Pieces,
-    expiresAt: Millis,
-  ): boolean {
-    if (this.holds.has(reservation) || this.getFree(engine) < pieces) return false;
-    this.book(reservation, { engine, pieces }, expiresAt);
+  reserve(id: ReservationId, engine: UpstreamId, pieces: Pieces, expiresAt: Millis): boolean {
+    if (this.reservations.has(id) || this.getFree(engine) < pieces) return false;
+    this.add(id, { engine, pieces }, expiresAt);
     return true;
   }
 
   /**
-   * Books memory that is held on the engine already, whether or not the account has room for it:
-   * a new steward learns of it from its holder, and denying it would not free it.
+   * Records a reservation made by an earlier scheduler of the pool, as reported by its holder. It is
+   * recorded even beyond the capacity, because rejecting it would not free the memory.
    *
-   * @param reservation - The holder's id.
+   * @param id - Id of the reservation.
    * @param engine - The decode engine.
    * @param pieces - Pieces held.
-   * @param expiresAt - When the reservation runs out unless it is renewed.
+   * @param expiresAt - Expiry of the reservation unless it is extended.
    */
-  adopt(reservation: ReservationId, engine: UpstreamId, pieces: Pieces, expiresAt: Millis): void {
-    if (this.holds.has(reservation)) return;
+  adopt(id: ReservationId, engine: UpstreamId, pieces: Pieces, expiresAt: Millis): void {
+    if (this.reservations.has(id)) return;
     if (!this.accounts.has(engine)) this.open(engine, 0);
-    this.book(reservation, { engine, pieces }, expiresAt);
+    this.add(id, { engine, pieces }, expiresAt);
   }
 
-  /** Moves a reservation's expiry; false where the reservation is not known. */
-  extend(reservation: ReservationId, expiresAt: Millis): boolean {
-    if (!this.holds.has(reservation)) return false;
-    this.expiries.set(reservation, expiresAt);
+  /** Changes the expiry of a reservation; false if it is not known. */
+  extend(id: ReservationId, expiresAt: Millis): boolean {
+    if (!this.reservations.has(id)) return false;
+    this.expiries.set(id, expiresAt);
     return true;
   }
 
-  /** Frees a reservation and gets its engine; undefined where it is not known. */
-  free(reservation: ReservationId): UpstreamId | undefined {
-    const hold = this.holds.get(reservation);
-    if (hold === undefined) return undefined;
-    this.holds.delete(reservation);
-    this.expiries.delete(reservation);
-    const account = this.accounts.get(hold.engine);
-    if (account === undefined) return hold.engine;
-    account.reserved -= hold.pieces;
-    account.holders -= 1;
-    if (account.holders === 0 && account.capacity === 0) this.accounts.delete(hold.engine);
-    return hold.engine;
+  /** Frees a reservation and gets its engine; undefined if the reservation is not known. */
+  free(id: ReservationId): UpstreamId | undefined {
+    const reservation = this.reservations.get(id);
+    if (reservation === undefined) return undefined;
+    this.reservations.delete(id);
+    this.expiries.delete(id);
+    const account = this.accounts.get(reservation.engine);
+    if (account === undefined) return reservation.engine;
+    account.reserved -= reservation.pieces;
+    account.reservationCount -= 1;
+    if (account.reservationCount === 0 && account.capacity === 0)
+      this.accounts.delete(reservation.engine);
+    return reservation.engine;
   }
 
-  /** Gets a reservation that has run out by now, if there is any; it stays booked until freed. */
+  /** Gets an expired reservation, if there is any; it holds its memory until it is freed. */
   expired(now: Millis): ReservationId | undefined {
-    const at = this.expiries.peekKey();
-    return at !== undefined && at <= now ? this.expiries.peek() : undefined;
+    const expiresAt = this.expiries.peekKey();
+    return expiresAt !== undefined && expiresAt <= now ? this.expiries.peek() : undefined;
   }
 
   /**
    * Corrects an account by a load report.
    *
-   * A report is late, so memory that was reserved a moment ago and is free by now still shows. Only
-   * what exceeds the largest sum reserved over the last two reports can be foreign: streams of a
-   * steward that is gone, or work that an engine did not drop.
+   * Reports lag, so one may still include memory that has been freed since. Only usage above the
+   * maximum reserved over the last two report intervals is unaccounted for: streams placed by an
+   * earlier scheduler of the pool, or requests that an engine failed to drop.
    *
    * @param engine - The engine.
-   * @param used - Pieces in use as the report says.
+   * @param usedPieces - Pieces in use according to the report.
    */
-  report(engine: UpstreamId, used: Pieces): void {
+  report(engine: UpstreamId, usedPieces: Pieces): void {
     const account = this.accounts.get(engine);
     if (account === undefined) return;
-    account.foreign = Math.max(0, used - Math.max(account.peak, account.earlierPeak));
-    account.earlierPeak = account.peak;
+    account.unaccounted = Math.max(0, usedPieces - Math.max(account.peak, account.previousPeak));
+    account.previousPeak = account.peak;
     account.peak = account.reserved;
   }
 
-  private book(reservation: ReservationId, hold: Hold, expiresAt: Millis): void {
-    this.holds.set(reservation, hold);
-    this.expiries.set(reservation, expiresAt);
-    const account = this.accounts.get(hold.engine);
+  private add(id: ReservationId, reservation: Reservation, expiresAt: Millis): void {
+    this.reservations.set(id, reservation);
+    this.expiries.set(id, expiresAt);
+    const account = this.accounts.get(reservation.engine);
     if (account === undefined) return;
-    account.reserved += hold.pieces;
-    account.holders += 1;
+    account.reserved += reservation.pieces;
+    account.reservationCount += 1;
     account.peak = Math.max(account.peak, account.reserved);
   }
 }
