--- a/packages/router/src/placing/PoolSteward.ts
+++ b/packages/router/src/placing/PoolSteward.ts
@@ -45,7 +45,7 @@
   cancelTimer: CancelTimer;
 }
 
-/** Dependencies of {@link PoolCoordinator}. */
+/** Dependencies of {@link PoolSteward}. */
 export interface PoolStewardOptions {
   readonly model: ModelId;
   readonly pool: PoolConfig;
--- a/packages/router/src/placing/StewardDesk.ts
+++ b/packages/router/src/placing/StewardDesk.ts
@@ -26,7 +26,7 @@
   return `pool/${model}`;
 }
 
-/** Dependencies of {@link CoordinatorRegistry}. */
+/** Dependencies of {@link StewardDesk}. */
 export interface StewardDeskOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
