--- a/packages/decisions/src/admit/Admission.ts
+++ b/packages/decisions/src/admit/Admission.ts
@@ -6,87 +6,96 @@
 import type { DrainRate } from './DrainRate.ts';
 import type { QueueLimits } from './QueueLimits.ts';
 
-/** Bounds of what a refusal tells the caller to wait, in milliseconds. */
-const RETRY_AFTER_MS = { least: 100, most: 60_000, unknown: 1_000 };
+/** Bounds of a refusal's retry-after, and its value while the drain rate is unknown, in milliseconds. */
+const RETRY_AFTER_MS = { min: 100, max: 60_000, unknown: 1_000 };
 
 /**
- * A lookup is refused on submission only when the expected wait exceeds its slack by this factor,
- * since the expectation is a measurement: a wrong refusal costs more than a short wait.
+ * A lookup is refused on submission only if the estimated wait exceeds its slack by this factor: the
+ * estimate comes from a measured rate, and a wrong refusal costs more than a short wait.
  */
-const CLEARLY_LATE = 1.25;
+const LATE_WAIT_FACTOR = 1.25;
 
-/** A refusal as a decision. */
+/** The scheduler decision that refuses a request. */
 export type RefuseDecision = Extract<SchedulerDecision, { type: 'refuse' }>;
 
 /**
- * Decides which requests are refused, at once and truthfully.
+ * Admission control of a pool: refuses requests that can't be served in time.
  *
- * Made for saturation: what can't be served in time is refused before any engine has worked for it,
- * while its caller can still go elsewhere, with the time after which another try makes sense. All
- * refusals made here are of work that no engine was given.
+ * Under overload such a request is refused early, while its caller can still go elsewhere, and the
+ * refusal says when a retry makes sense. Only work that was never dispatched to an engine is refused
+ * here, so every refusal has execution `not_run`.
  */
 export class Admission {
   constructor(
     private readonly queue: FairQueue,
     private readonly table: EngineTable,
-    private readonly drain: DrainRate,
+    private readonly drainRate: DrainRate,
     private readonly limits: QueueLimits,
   ) {}
 
   /**
-   * Refuses on submission a request larger than any engine, a queue beyond its bounds, or a lookup
-   * whose wait is known to exceed its target.
+   * Refuses a request on submission if it needs more memory than any decode engine has, failed on
+   * every engine, finds the queue full for its team or for all, or is a lookup whose estimated wait
+   * exceeds its target.
    *
-   * @returns The refusal, or undefined where the request may wait.
+   * @param work - The submitted request.
+   * @param now - Present time.
+   * @returns The refusal, or undefined if the request may be queued.
    */
   refuseAtOnce(work: QueuedWork, now: Millis): RefuseDecision | undefined {
     const { item } = work;
     if (work.pieces > this.table.largestMemory) {
-      return refuse(item, 'no_capacity', 'No decode engine has memory for this request.');
+      return refuse(item, 'no_capacity', 'No decode engine has enough memory for this request.');
     }
     if (this.table.decode.areAllIn(item.avoid) || this.table.prefill.areAllIn(item.avoid)) {
-      // Left in the queue it would hold up its team until its bound, for engines that never fit.
+      // It can never be placed; in the queue it would block its team's requests until it timed out.
       return refuse(item, 'no_capacity', 'The request has failed on every engine of the pool.');
     }
     const full =
       this.queue.size >= this.limits.total ||
       this.queue.getTeamSize(item.team) >= this.limits.perTeam;
-    if (full) return refuse(item, 'queue_full', 'Too many requests wait.', this.getRetryAfterMs());
+    if (full)
+      return refuse(item, 'queue_full', 'Too many requests are queued.', this.getRetryAfterMs());
     return item.class === 'lookup' ? this.refuseLookup(work, now) : undefined;
   }
 
-  /** Refuses a waiting request whose time is over; it has not run. */
+  /** Refuses a queued request that has reached its deadline in the queue. */
   refuseLate(item: WorkItem): RefuseDecision {
-    const text = 'No engine became free within the time that this request may wait.';
+    const text = 'No engine became free within the longest queue time of the request.';
     return refuse(item, 'target_missed', text, this.getRetryAfterMs());
   }
 
   private refuseLookup(work: QueuedWork, now: Millis): RefuseDecision | undefined {
     const { item } = work;
     if (this.table.decode.size === 0 || this.table.prefill.size === 0) {
-      return refuse(item, 'no_capacity', 'No engine of the pool is up.', RETRY_AFTER_MS.unknown);
+      return refuse(
+        item,
+        'no_capacity',
+        'No engine of the pool is available.',
+        RETRY_AFTER_MS.unknown,
+      );
     }
     if (work.giveUpAt <= now) {
-      // Not even an idle pool would be in time, so coming back does not help either.
+      // Even an idle pool would miss the target, so the refusal has no retry-after.
       return refuse(item, 'target_missed', 'The prompt is too long for a lookup on this pool.');
     }
-    const ahead = this.queue.getCostAhead(item.team, item.weight, item.class);
-    const waitMs = this.drain.getWaitMs(ahead) ?? 0;
+    const costAhead = this.queue.getCostAhead(item.team, item.weight, item.class);
+    const waitMs = this.drainRate.getWaitMs(costAhead) ?? 0;
     const slackMs = work.giveUpAt - now;
-    if (waitMs <= slackMs * CLEARLY_LATE) return undefined;
-    const text = 'The queue is longer than the target for the first token allows.';
-    return refuse(item, 'target_missed', text, clampRetry(waitMs - slackMs));
+    if (waitMs <= slackMs * LATE_WAIT_FACTOR) return undefined;
+    const text = 'The estimated queue time exceeds the target for the first token.';
+    return refuse(item, 'target_missed', text, clampRetryAfter(waitMs - slackMs));
   }
 
-  /** Gets when a caller may come back: when the lookups and certificates before it have gone. */
+  /** Gets the retry-after: the time in which the queued lookups and certificates are placed. */
   private getRetryAfterMs(): Millis {
-    const ahead = this.queue.getCost('lookup') + this.queue.getCost('certificate');
-    return clampRetry(this.drain.getWaitMs(ahead) ?? RETRY_AFTER_MS.unknown);
+    const costAhead = this.queue.getCost('lookup') + this.queue.getCost('certificate');
+    return clampRetryAfter(this.drainRate.getWaitMs(costAhead) ?? RETRY_AFTER_MS.unknown);
   }
 }
 
-function clampRetry(waitMs: Millis): Millis {
-  return Math.ceil(Math.min(RETRY_AFTER_MS.most, Math.max(RETRY_AFTER_MS.least, waitMs)));
+function clampRetryAfter(waitMs: Millis): Millis {
+  return Math.ceil(Math.min(RETRY_AFTER_MS.max, Math.max(RETRY_AFTER_MS.min, waitMs)));
 }
 
 function refuse(
--- a/packages/decisions/src/admit/DrainRate.ts
+++ b/packages/decisions/src/admit/DrainRate.ts
@@ -1,55 +1,55 @@
 import type { Millis, Tokens } from '@camphorvane/core';
 
-/** Time over which the measured rate forgets, in milliseconds of waiting work. */
-const MEMORY_MS = 3_000;
+/** Time constant of the exponential decay, in milliseconds during which work was queued. */
+const DECAY_MS = 3_000;
 
-/** Time with waiting work that must have been seen before the rate says anything. */
-const MIN_SEEN_MS = 500;
+/** Least measured time with queued work before an estimate is given, in milliseconds. */
+const MIN_MEASURED_MS = 500;
 
 /**
- * The rate at which waiting work gets its place, in tokens a millisecond.
+ * Measures the drain rate of the queue: the tokens of queued work placed on engines a millisecond.
  *
- * It is measured only while work waits: without a queue the rate shows what callers sent, not what
- * the engines can take, and a burst after a calm hour would be refused for no reason. Heat lowers
- * the rate within seconds, without anyone having reported it.
+ * Only time with queued work counts. Without a queue the rate would show the arrival rate instead of
+ * the engines' capacity, and a burst after an idle hour would be refused without need. Thermal
+ * throttling of engines lowers the rate within seconds, without a report of it.
  */
 export class DrainRate {
   private tokens: Tokens = 0;
 
-  private time: Millis = 0;
+  private measuredMs: Millis = 0;
 
-  private last: Millis | undefined;
+  private updatedAt: Millis | undefined;
 
-  private waiting = false;
+  private hasQueuedWork = false;
 
   /**
-   * Moves the measurement on.
+   * Advances the measurement to the present time.
    *
    * @param now - Present time.
-   * @param waiting - Whether work waits from now on.
+   * @param hasQueuedWork - Whether work is queued from now on.
    */
-  advance(now: Millis, waiting: boolean): void {
-    const span = this.waiting && this.last !== undefined ? now - this.last : 0;
-    const kept = Math.exp(-span / MEMORY_MS);
-    this.tokens *= kept;
-    this.time = this.time * kept + span;
-    this.last = now;
-    this.waiting = waiting;
+  advance(now: Millis, hasQueuedWork: boolean): void {
+    const elapsedMs = this.hasQueuedWork && this.updatedAt !== undefined ? now - this.updatedAt : 0;
+    const decay = Math.exp(-elapsedMs / DECAY_MS);
+    this.tokens *= decay;
+    this.measuredMs = this.measuredMs * decay + elapsedMs;
+    this.updatedAt = now;
+    this.hasQueuedWork = hasQueuedWork;
   }
 
-  /** Counts tokens that got their place while work waited. */
+  /** Records tokens that were placed; those placed while no work was queued do not count. */
   placed(tokens: Tokens): void {
-    if (this.waiting) this.tokens += tokens;
+    if (this.hasQueuedWork) this.tokens += tokens;
   }
 
   /**
-   * Gets the time until some tokens have got their place.
+   * Estimates the time in which a number of queued tokens is placed.
    *
-   * @param ahead - Tokens that go first.
-   * @returns Milliseconds, or undefined while too little has been seen to tell.
+   * @param ahead - Queued tokens that are placed first.
+   * @returns Milliseconds, or undefined while too little has been measured.
    */
   getWaitMs(ahead: Tokens): Millis | undefined {
-    if (this.time < MIN_SEEN_MS || this.tokens <= 0) return undefined;
-    return (ahead * this.time) / this.tokens;
+    if (this.measuredMs < MIN_MEASURED_MS || this.tokens <= 0) return undefined;
+    return (ahead * this.measuredMs) / this.tokens;
   }
 }
