--- a/packages/decisions/src/retry/CrashSuspicion.ts
+++ b/packages/decisions/src/retry/CrashSuspicion.ts
@@ -1,28 +1,28 @@
 import type { Millis, UpstreamId } from '@camphorvane/core';
 
-/** An upstream died while it ran a request; hosts of a group pass this on to one another. */
+/** A crash of an upstream while it ran a request, as hosts report it to each other. */
 export interface CrashReport {
-  /** Digest of the request's content, the same when its caller sends it again. */
+  /** Digest of the request's content, the same for each retry by its caller. */
   readonly digest: string;
   readonly upstream: UpstreamId;
-  /** Age of the crash; an age and not a time, since no two processes share a clock. */
+  /** Milliseconds since the crash; an age instead of a time, since hosts do not share a clock. */
   readonly ageMs: Millis;
 }
 
 /** Limits of a {@link CrashSuspicion}. */
 export interface CrashSuspicionOptions {
-  /** Different upstreams that must have crashed. */
+  /** Distinct upstreams that must have crashed before a request is blocked. */
   readonly crashes: number;
-  /** Time after which a crash no longer counts. */
+  /** Milliseconds after which a crash no longer counts. */
   readonly memoryMs: Millis;
-  /** Most digests remembered; those suspected longest ago go first. */
+  /** Most digests kept; the one whose last crash report is oldest is evicted first. */
   readonly most: number;
 }
 
 /**
- * Two crashes: one may be chance, and each further one costs all streams of an engine. Ten minutes
- * outlast a caller's usual retries, and end the block when engines have been mended. The bound keeps
- * the memory under a megabyte.
+ * Default limits. One crash may be a coincidence, and each further one costs all streams of an engine.
+ * Ten minutes outlast a caller's usual retries, and the block ends once engines have been repaired.
+ * The number of digests keeps the memory under a megabyte.
  */
 export const DEFAULT_CRASH_SUSPICION: CrashSuspicionOptions = {
   crashes: 2,
@@ -31,36 +31,35 @@
 };
 
 /**
- * Remembers which requests were running when upstreams crashed, and holds back repeat offenders.
+ * Records which requests were running when upstreams crashed, and blocks those seen at several crashes.
  *
- * What goes wrong: now and then one request crashes every upstream that runs it, and its caller
- * sends it again, so that engine after engine dies with all its streams. One notices that the same
- * content was on each. It is held back by digest, since the caller's next try has another id. A
- * request that got its whole answer is cleared, and suspicion expires, because others on the same
- * engine are under suspicion with it.
+ * Guards against a request that crashes each upstream that runs it while its caller keeps retrying, so
+ * that one engine after the other fails with all its streams. Requests are identified by a digest of
+ * their content, since each retry by a caller has a new id. Requests that merely ran on the same engine
+ * are suspected as well, so a complete answer clears a request and every record expires.
  */
 export class CrashSuspicion {
-  /** By digest, the time of the last crash on each upstream; insertion order is order of suspicion. */
+  /** Time of the last crash of each upstream by digest, in order of the last report of the digest. */
   private readonly crashes = new Map<string, ReadonlyMap<UpstreamId, Millis>>();
 
   private readonly opts: CrashSuspicionOptions;
 
-  /** @param opts - Limits; those not given have their defaults. */
+  /** @param opts - Limits; those left out have their defaults. */
   constructor(opts: Partial<CrashSuspicionOptions> = {}) {
     this.opts = { ...DEFAULT_CRASH_SUSPICION, ...opts };
   }
 
-  /** Gets how many digests are remembered. */
+  /** Gets the number of digests kept. */
   get size(): number {
     return this.crashes.size;
   }
 
-  /** Takes in a crash that this host saw or heard of; the same report twice counts once. */
+  /** Records a crash that this host or a peer detected; a repeated report counts once. */
   observe(report: CrashReport, now: Millis): void {
-    const at = now - report.ageMs;
+    const crashedAt = now - report.ageMs;
     if (report.ageMs >= this.opts.memoryMs) return;
     const known = new Map(this.getRecent(report.digest, now));
-    known.set(report.upstream, Math.max(at, known.get(report.upstream) ?? -Infinity));
+    known.set(report.upstream, Math.max(crashedAt, known.get(report.upstream) ?? -Infinity));
     this.crashes.delete(report.digest);
     this.crashes.set(report.digest, known);
     if (this.crashes.size <= this.opts.most) return;
@@ -68,25 +67,25 @@
     if (!oldest.done) this.crashes.delete(oldest.value);
   }
 
-  /** Forgets a request that has got its whole answer: it is not what crashed the upstreams. */
+  /** Clears a request that got its complete answer, so it did not cause the crashes. */
   clear(digest: string): void {
     this.crashes.delete(digest);
   }
 
   /**
-   * Gets how long a request is still held back.
+   * Gets how much longer a request is blocked.
    *
    * @param digest - Digest of the request's content.
    * @param now - Present time.
-   * @returns Milliseconds, for the refusal's retry-after; undefined where it may run.
+   * @returns Milliseconds, for the refusal's retry-after; undefined if the request may run.
    */
   getHeldBackMs(digest: string, now: Millis): Millis | undefined {
-    const times = [...this.getRecent(digest, now).values()].sort((a, b) => b - a);
-    const deciding = times[this.opts.crashes - 1];
-    return deciding === undefined ? undefined : deciding + this.opts.memoryMs - now;
+    const newestFirst = [...this.getRecent(digest, now).values()].sort((a, b) => b - a);
+    const decisive = newestFirst[this.opts.crashes - 1];
+    return decisive === undefined ? undefined : decisive + this.opts.memoryMs - now;
   }
 
-  /** Gets what is remembered, to be passed on to a host that has joined the group. */
+  /** Gets all recorded crashes, to be sent to a host that joins the group. */
   getReports(now: Millis): readonly CrashReport[] {
     return [...this.crashes.keys()].flatMap((digest) =>
       [...this.getRecent(digest, now)].map(([upstream, at]) => ({
--- a/packages/decisions/src/retry/LevelStore.ts
+++ b/packages/decisions/src/retry/LevelStore.ts
@@ -2,47 +2,47 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Names looked at for removal whenever one is added. */
-const SWEPT_AT_ONCE = 2;
+/** Buckets that each change checks for removal. */
+const SWEEP_BATCH = 2;
 
-interface Level {
-  readonly value: number;
-  readonly at: Millis;
+interface Bucket {
+  readonly level: number;
+  readonly updatedAt: Millis;
 }
 
-/** Levels by name that fill with time up to a bound; names whose level is full take no memory. */
-export class LevelStore<Name> {
-  private readonly levels = new Map<Name, Level>();
+/** Token buckets by key that share one refill rate and capacity; full buckets take no memory. */
+export class LevelStore<Key> {
+  private readonly buckets = new Map<Key, Bucket>();
 
   constructor(private readonly opts: { readonly perSecond: number; readonly most: number }) {}
 
-  /** Gets how many names have a level that was below the bound when it was last looked at. */
+  /** Gets the number of buckets kept: those below capacity when they were last checked. */
   get size(): number {
-    return this.levels.size;
+    return this.buckets.size;
   }
 
-  /** Gets the present level of a name. */
-  get(name: Name, now: Millis): number {
+  /** Gets the present level of a key's bucket. */
+  get(key: Key, now: Millis): number {
     const { most, perSecond } = this.opts;
-    const level = this.levels.get(name);
-    if (level === undefined) return most;
-    return Math.min(most, level.value + ((now - level.at) * perSecond) / MS_PER_SECOND);
+    const bucket = this.buckets.get(key);
+    if (bucket === undefined) return most;
+    return Math.min(most, bucket.level + ((now - bucket.updatedAt) * perSecond) / MS_PER_SECOND);
   }
 
-  /** Changes the level of a name. */
-  add(name: Name, change: number, now: Millis): void {
-    const value = this.get(name, now) + change;
-    this.levels.delete(name);
-    if (value < this.opts.most) this.levels.set(name, { value, at: now });
+  /** Adds tokens to a key's bucket; a negative number takes them out. */
+  add(key: Key, tokens: number, now: Millis): void {
+    const level = this.get(key, now) + tokens;
+    this.buckets.delete(key);
+    if (level < this.opts.most) this.buckets.set(key, { level, updatedAt: now });
     this.sweep(now);
   }
 
-  /** Drops the names touched longest ago once their level is full. */
+  /** Removes the least recently changed buckets if they are full again. */
   private sweep(now: Millis): void {
-    const oldest = this.levels.keys();
-    const names = Array.from({ length: SWEPT_AT_ONCE }, () => oldest.next());
-    names.forEach((name) => {
-      if (!name.done && this.get(name.value, now) >= this.opts.most) this.levels.delete(name.value);
+    const oldest = this.buckets.keys();
+    const keys = Array.from({ length: SWEEP_BATCH }, () => oldest.next());
+    keys.forEach((key) => {
+      if (!key.done && this.get(key.value, now) >= this.opts.most) this.buckets.delete(key.value);
     });
   }
 }
--- a/packages/decisions/src/retry/RepeatBudget.ts
+++ b/packages/decisions/src/retry/RepeatBudget.ts
@@ -1,30 +1,32 @@
 import type { Millis, ServiceId } from '@camphorvane/core';
 import { WindowCount } from './WindowCount.ts';
 
-/** What all hosts together may send beyond the first attempt of each request. */
+/** Retries that all hosts together may send to a service. */
 export interface RepeatAllowance {
-  /** Repeats for each request. */
+  /** Retries allowed for each request. */
   readonly ratio: number;
-  /** Repeats beyond that in any window. */
+  /** Retries allowed beyond that in any window. */
   readonly slack: number;
+  /** Length of a window in milliseconds. */
   readonly windowMs: Millis;
 }
 
-/** Part of the allowance that is used; requests whose repeats are under way stay within the rest. */
-const USED_ALLOWANCE = 0.85;
+/** Fraction of the allowance that is used; the rest covers requests whose retries are in flight. */
+const USED_FRACTION = 0.85;
 
 interface Counts {
   readonly requests: WindowCount;
-  readonly repeats: WindowCount;
+  readonly retries: WindowCount;
 }
 
 /**
- * Bounds how often this host sends requests to a service once more.
+ * Limits the retries that this host sends to each service.
  *
- * Made for a service whose servers fail or are full: repeats then add to the load that made the first
- * attempts fail. The allowance holds for all hosts together, so each takes an equal part of the slack
- * and what its own requests earn. Both are counted over the very window that the allowance speaks of:
- * servers crash at once, and the requests that they had on all hosts must be repeated in one moment.
+ * Guards against retry storms on a service whose servers fail or are full, where retries add to the
+ * load that made the first attempts fail. The allowance is for all hosts together, so each host has an
+ * equal share of the slack plus what its own requests earn. Requests and retries are counted over the
+ * allowance's own window, so that all retries of a window may be sent at once: a server that crashes
+ * fails all its requests, on all hosts, at the same moment.
  */
 export class RepeatBudget {
   private readonly allowance: RepeatAllowance;
@@ -34,25 +36,26 @@
   private readonly counts = new Map<ServiceId, Counts>();
 
   /**
-   * @param allowance - What all hosts together may repeat.
-   * @param hostCount - Gets how many hosts share it.
+   * @param allowance - Retries of all hosts together.
+   * @param hostCount - Gets the number of hosts that share the allowance.
    */
   constructor(allowance: RepeatAllowance, hostCount: () => number) {
     this.allowance = allowance;
     this.hostCount = hostCount;
   }
 
-  /** Notes a request's first attempt, which earns part of a repeat. */
+  /** Records the first attempt of a request, which earns part of a retry. */
   attempted(service: ServiceId, now: Millis): void {
     this.countsOf(service).requests.add(now);
   }
 
-  /** Pays for one repeat; false where there is none left. */
+  /** Charges one retry to a service; false if its budget is exhausted. */
   tryRepeat(service: ServiceId, now: Millis): boolean {
-    const { requests, repeats } = this.countsOf(service);
-    const earned = requests.count(now) * this.allowance.ratio * USED_ALLOWANCE;
-    if (repeats.count(now) + 1 > Math.max(1, this.slackPart() + earned)) return false;
-    repeats.add(now);
+    const { requests, retries } = this.countsOf(service);
+    const earned = requests.count(now) * this.allowance.ratio * USED_FRACTION;
+    // Each host is allowed one retry in a window, even if its share is below one.
+    if (retries.count(now) + 1 > Math.max(1, this.slackShare() + earned)) return false;
+    retries.add(now);
     return true;
   }
 
@@ -60,13 +63,13 @@
     const known = this.counts.get(service);
     if (known !== undefined) return known;
     const { windowMs } = this.allowance;
-    const counts = { requests: new WindowCount(windowMs), repeats: new WindowCount(windowMs) };
+    const counts = { requests: new WindowCount(windowMs), retries: new WindowCount(windowMs) };
     this.counts.set(service, counts);
     return counts;
   }
 
-  /** One repeat can always be paid, also where a host's part of the slack is below one. */
-  private slackPart(): number {
-    return (this.allowance.slack * USED_ALLOWANCE) / Math.max(1, this.hostCount());
+  /** Gets this host's share of the slack, which may be less than one retry. */
+  private slackShare(): number {
+    return (this.allowance.slack * USED_FRACTION) / Math.max(1, this.hostCount());
   }
 }
--- a/packages/decisions/src/retry/ResumePlan.ts
+++ b/packages/decisions/src/retry/ResumePlan.ts
@@ -1,44 +1,45 @@
 import type { Millis, Tokens, UpstreamId } from '@camphorvane/core';
 
-/** A KV cache that an engine can still export. */
+/** A KV cache that an engine still holds for export. */
 export interface ExportedKv {
   readonly engine: UpstreamId;
-  /** When it is evicted at the latest known. */
+  /** Time of its eviction, as last known. */
   readonly availableUntil: Millis;
-  /** Time to move it to another decode engine. */
+  /** Milliseconds to transfer it to another decode engine. */
   readonly transferMs: Millis;
 }
 
-/** A stream that broke before its end. */
+/** A stream of tokens that was interrupted before its end. */
 export interface BrokenStream {
   readonly idempotent: boolean;
   readonly promptTokens: Tokens;
-  /** Tokens that were passed on to the caller: the position at which to go on. */
+  /** Tokens delivered to the caller, which is the position to resume at. */
   readonly deliveredTokens: Tokens;
   readonly maxOutputTokens: Tokens;
-  /** Longest silence that the caller's connection is given, counted from now. */
+  /** Longest time from now until the next token, in milliseconds. */
   readonly patienceMs: Millis;
-  /** KV cache of the prompt and of all tokens delivered, where an engine still has it. */
+  /** KV cache of the prompt and all delivered tokens, if an engine still holds it. */
   readonly kv: ExportedKv | undefined;
 }
 
-/** What the pool can do now. */
+/** State of the pool and of the retry budget that a plan depends on. */
 export interface ResumeMeans {
-  /** Time until a prefill engine can begin. */
+  /** Milliseconds until a prefill engine can start. */
   readonly prefillWaitMs: Millis;
-  /** Speed of prefill, in tokens a millisecond. */
+  /** Prefill throughput, in tokens a millisecond. */
   readonly prefillRate: number;
+  /** Milliseconds to transfer a prefill's result to a decode engine. */
   readonly transferMs: Millis;
-  /** Whether the retry budgets allow another attempt; asked only where one would pay. */
+  /** Charges the retry budgets and gets whether they allow a retry; called only if one is needed. */
   readonly mayRetry: () => boolean;
 }
 
-/** How a broken stream goes on, or why it ends. */
+/** How an interrupted stream is resumed, or why it ends. */
 export type ResumePlan =
   | { readonly type: 'import_kv'; readonly source: UpstreamId; readonly fromPosition: Tokens }
   | {
       readonly type: 'prefill_again';
-      /** Prompt plus the tokens delivered, to be run as one prompt. */
+      /** Prompt plus delivered tokens, which are prefilled as one prompt. */
       readonly tokens: Tokens;
       readonly fromPosition: Tokens;
     }
@@ -47,38 +48,39 @@
       readonly reason: 'not_idempotent' | 'complete' | 'too_late' | 'budget_spent';
     };
 
-/** Spare time before an eviction below which an export is not begun: half a hop's jitter each way. */
+/** Least time left before an eviction to start an export: half a hop's jitter each way. */
 const EVICTION_MARGIN_MS = 20;
 
 /**
- * Decides how a broken stream goes on at the exact token where it stopped.
+ * Decides how an interrupted stream is resumed at the exact token where it stopped.
  *
- * Made for an engine that dies or overheats with twenty streams on it. Ending them all makes every
- * caller send the whole prompt again; repeating them blindly floods the prefill engines. An exported
- * KV cache costs only a transfer, so it is taken whenever it will still be there. Running the prompt
- * and the delivered tokens again costs one prefill, against a prefill and all delivered tokens
- * decoded again if the caller repeats: it pays whenever the caller is still there when it is over.
- * A non-idempotent call is never sent a second time, whatever was lost.
+ * An engine that fails or overheats may interrupt twenty streams at once. If all of them end,
+ * every caller sends the whole prompt again; if all are retried without a limit, they flood the
+ * prefill engines. Importing an exported KV cache costs only a transfer, so it is preferred if the
+ * cache lasts long enough. Prefilling prompt and delivered tokens costs one prefill, while a retry by
+ * the caller costs a prefill and the decoding of all delivered tokens: it pays if it ends within the
+ * caller's time limit. A non-idempotent call is never dispatched twice, whatever was lost.
  *
- * @param broken - The stream.
- * @param means - What the pool can do now.
+ * @param stream - The interrupted stream.
+ * @param context - State of the pool and of the retry budget.
  * @param now - Present time.
+ * @returns How the stream is resumed, or why it ends.
  */
-export function planResume(broken: BrokenStream, means: ResumeMeans, now: Millis): ResumePlan {
-  if (!broken.idempotent) return { type: 'end', reason: 'not_idempotent' };
-  const fromPosition = broken.deliveredTokens;
-  if (fromPosition >= broken.maxOutputTokens) return { type: 'end', reason: 'complete' };
-  const { kv } = broken;
-  const tokens = broken.promptTokens + fromPosition;
-  const againMs = means.prefillWaitMs + tokens / means.prefillRate + means.transferMs;
-  const importable = kv !== undefined && canImport(kv, broken.patienceMs, now);
-  if (!importable && againMs > broken.patienceMs) return { type: 'end', reason: 'too_late' };
-  if (!means.mayRetry()) return { type: 'end', reason: 'budget_spent' };
-  return importable
+export function planResume(stream: BrokenStream, context: ResumeMeans, now: Millis): ResumePlan {
+  if (!stream.idempotent) return { type: 'end', reason: 'not_idempotent' };
+  const fromPosition = stream.deliveredTokens;
+  if (fromPosition >= stream.maxOutputTokens) return { type: 'end', reason: 'complete' };
+  const { kv } = stream;
+  const tokens = stream.promptTokens + fromPosition;
+  const resumeMs = context.prefillWaitMs + tokens / context.prefillRate + context.transferMs;
+  const canImportKv = kv !== undefined && canImport(kv, stream.patienceMs, now);
+  if (!canImportKv && resumeMs > stream.patienceMs) return { type: 'end', reason: 'too_late' };
+  if (!context.mayRetry()) return { type: 'end', reason: 'budget_spent' };
+  return canImportKv
     ? { type: 'import_kv', source: kv.engine, fromPosition }
     : { type: 'prefill_again', tokens, fromPosition };
 }
 
-function canImport(kv: ExportedKv, patienceMs: Millis, now: Millis): boolean {
-  return now + EVICTION_MARGIN_MS < kv.availableUntil && kv.transferMs <= patienceMs;
+function canImport(kv: ExportedKv, maxPauseMs: Millis, now: Millis): boolean {
+  return now + EVICTION_MARGIN_MS < kv.availableUntil && kv.transferMs <= maxPauseMs;
 }
--- a/packages/decisions/src/retry/RetryBudget.ts
+++ b/packages/decisions/src/retry/RetryBudget.ts
@@ -3,17 +3,17 @@
 
 /** Limits of a {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries earned by one first attempt. */
+  /** Retries earned by each first attempt. */
   readonly perAttempt: number;
-  /** Retries earned in a second even without traffic, so that a team with few calls has some. */
+  /** Retries earned each second even without traffic, so that a team with few calls has some. */
   readonly perSecond: number;
-  /** Most retries that can be saved up. */
+  /** Most retries that can accumulate. */
   readonly most: number;
 }
 
 /**
- * One retry for ten attempts adds a tenth of the load at worst, also when every attempt fails; ten
- * saved ones cover the streams that one small engine loses at once.
+ * Default limits. One retry for ten attempts adds at most a tenth of the load, even if every attempt
+ * fails; ten accumulated ones cover the streams that one small engine loses at once.
  */
 export const DEFAULT_RETRY_BUDGET: RetryBudgetOptions = {
   perAttempt: 0.1,
@@ -22,13 +22,13 @@
 };
 
 /**
- * Limits how much work is repeated, for each team and for each upstream.
+ * Retry budget by team and by upstream.
  *
- * Made for an upstream that fails under load, or a loss of many at once. Repeats then add to the
- * load that made the first attempts fail, and keep the pool down after the cause has gone. One sees
- * it as attempts that grow while answers do not. A repeat must be paid by the team, so that one
- * team's failing requests can't use up what others need, and by the upstream that failed, so that a
- * broken upstream can't flood the healthy ones.
+ * Guards against retry storms when an upstream fails under load or many fail at once: retries add to
+ * the load that made the first attempts fail, and keep the pool overloaded after the cause has gone;
+ * attempts grow while answers do not. Each retry is charged to the team, so that one team's failing
+ * requests do not use up the retries of others, and to the upstream that failed, so that a failing
+ * upstream does not flood the healthy ones.
  */
 export class RetryBudget {
   private readonly teams: LevelStore<TeamId>;
@@ -37,36 +37,36 @@
 
   private readonly opts: RetryBudgetOptions;
 
-  /** @param opts - Limits; those not given have their defaults. */
+  /** @param opts - Limits; those left out have their defaults. */
   constructor(opts: Partial<RetryBudgetOptions> = {}) {
     this.opts = { ...DEFAULT_RETRY_BUDGET, ...opts };
     this.teams = new LevelStore(this.opts);
     this.upstreams = new LevelStore(this.opts);
   }
 
-  /** Notes a first attempt, which earns part of a retry. */
+  /** Records a first attempt, which earns part of a retry. */
   attempted(team: TeamId, upstream: UpstreamId, now: Millis): void {
     this.teams.add(team, this.opts.perAttempt, now);
     this.upstreams.add(upstream, this.opts.perAttempt, now);
   }
 
   /**
-   * Pays for one retry, from both budgets or from none.
+   * Charges one retry to both budgets, or to neither if one is exhausted.
    *
-   * @param team - The team whose request is to be repeated.
+   * @param team - The team whose request is retried.
    * @param failed - The upstream on which it failed.
    * @param now - Present time.
-   * @returns Whether the retry may go ahead.
+   * @returns Whether the retry is allowed.
    */
   tryRetry(team: TeamId, failed: UpstreamId, now: Millis): boolean {
-    const affordable = this.teams.get(team, now) >= 1 && this.upstreams.get(failed, now) >= 1;
-    if (!affordable) return false;
+    const isAllowed = this.teams.get(team, now) >= 1 && this.upstreams.get(failed, now) >= 1;
+    if (!isAllowed) return false;
     this.teams.add(team, -1, now);
     this.upstreams.add(failed, -1, now);
     return true;
   }
 
-  /** Gets how many teams and upstreams have less than the full budget. */
+  /** Gets how many teams and upstreams are tracked: those with less than the full budget. */
   get size(): number {
     return this.teams.size + this.upstreams.size;
   }
--- a/packages/decisions/src/retry/WindowCount.ts
+++ b/packages/decisions/src/retry/WindowCount.ts
@@ -1,39 +1,39 @@
 import type { Millis } from '@camphorvane/core';
 
-/** Parts that a window is counted in; an event counts for up to one part longer than the window. */
-const PARTS = 40;
+/** Slots of a window; an event counts for up to one slot longer than the window. */
+const SLOTS_PER_WINDOW = 40;
 
-/** Counts events of the last so many milliseconds, in as little memory however many there are. */
+/** Counts events in a sliding time window, in memory that does not grow with their number. */
 export class WindowCount {
-  private readonly partMs: Millis;
+  private readonly slotMs: Millis;
 
-  private readonly parts = new Map<number, number>();
+  private readonly slots = new Map<number, number>();
 
-  /** @param windowMs - Length of the window. */
+  /** @param windowMs - Length of the window in milliseconds. */
   constructor(windowMs: Millis) {
-    this.partMs = windowMs / PARTS;
+    this.slotMs = windowMs / SLOTS_PER_WINDOW;
   }
 
   /** Counts one event. */
   add(now: Millis): void {
-    const part = this.partOf(now);
-    this.forget(part);
-    this.parts.set(part, (this.parts.get(part) ?? 0) + 1);
+    const slot = this.slotOf(now);
+    this.expire(slot);
+    this.slots.set(slot, (this.slots.get(slot) ?? 0) + 1);
   }
 
-  /** Gets how many there were. */
+  /** Gets the number of events in the window that ends now. */
   count(now: Millis): number {
-    this.forget(this.partOf(now));
-    return [...this.parts.values()].reduce((sum, count) => sum + count, 0);
+    this.expire(this.slotOf(now));
+    return [...this.slots.values()].reduce((sum, count) => sum + count, 0);
   }
 
-  private partOf(now: Millis): number {
-    return Math.floor(now / this.partMs);
+  private slotOf(now: Millis): number {
+    return Math.floor(now / this.slotMs);
   }
 
-  private forget(current: number): void {
-    [...this.parts.keys()]
-      .filter((part) => part < current - PARTS)
-      .forEach((part) => this.parts.delete(part));
+  private expire(current: number): void {
+    [...this.slots.keys()]
+      .filter((slot) => slot < current - SLOTS_PER_WINDOW)
+      .forEach((slot) => this.slots.delete(slot));
   }
 }
--- a/packages/decisions/tests/retry/CrashSuspicion.test.ts
+++ b/packages/decisions/tests/retry/CrashSuspicion.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { CrashSuspicion } from '@camphorvane/decisions';
 
-test('holds back a request that crashed two engines, on every host that hears of it', () => {
-  // A caller's prompt crashes the engine that runs it, and the caller sends it again through another
-  // host. Without the digest each try takes down one more engine with everybody's streams.
+test('blocks a request that crashed two engines, on every host that gets the reports', () => {
+  // Guards against a prompt that crashes each engine that runs it while its caller retries through
+  // other hosts: each retry would fail one more engine with all its streams.
   const first = new CrashSuspicion();
   first.observe({ digest: 'bad', upstream: 'd1', ageMs: 0 }, 1_000);
   first.observe({ digest: 'bad', upstream: 'd1', ageMs: 0 }, 1_500);
@@ -16,7 +16,7 @@
   assert.equal(second.getHeldBackMs('bad', 70_000 + 599_500), undefined);
 });
 
-test('lets bystanders run: an answer clears them, and memory is bounded', () => {
+test('clears a request that was answered, and keeps a bounded number of digests', () => {
   const suspicion = new CrashSuspicion({ most: 3 });
   ['d1', 'd2'].forEach((upstream) =>
     suspicion.observe({ digest: 'bystander', upstream, ageMs: 0 }, 0),
--- a/packages/decisions/tests/retry/ResumePlan.test.ts
+++ b/packages/decisions/tests/retry/ResumePlan.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { type BrokenStream, type ResumeMeans, planResume } from '@camphorvane/decisions';
 
-const BROKEN: BrokenStream = {
+const STREAM: BrokenStream = {
   idempotent: true,
   promptTokens: 6_000,
   deliveredTokens: 40,
@@ -11,40 +11,44 @@
   kv: undefined,
 };
 
-const MEANS: ResumeMeans = {
+const CONTEXT: ResumeMeans = {
   prefillWaitMs: 100,
   prefillRate: 30,
   transferMs: 60,
   mayRetry: () => true,
 };
 
-test('goes on at the token where the stream broke, from the cheapest source that is left', () => {
-  // The decode engine dies after forty tokens. The caller should see the forty-first next, not the
-  // first again and not an end.
+test('resumes at the token where the stream was interrupted, from the cheapest source left', () => {
+  // The decode engine fails after 40 tokens: the caller must get token 41 next, neither a restart nor
+  // an end of the stream.
   const kv = { engine: 'p1', availableUntil: 1_500, transferMs: 60 };
-  assert.deepEqual(planResume({ ...BROKEN, kv }, MEANS, 1_000), {
+  assert.deepEqual(planResume({ ...STREAM, kv }, CONTEXT, 1_000), {
     type: 'import_kv',
     source: 'p1',
     fromPosition: 40,
   });
-  assert.deepEqual(planResume({ ...BROKEN, kv }, MEANS, 1_490), {
+  assert.deepEqual(planResume({ ...STREAM, kv }, CONTEXT, 1_490), {
     type: 'prefill_again',
     tokens: 6_040,
     fromPosition: 40,
   });
 });
 
-test('never repeats what must not run twice, whatever is at hand', () => {
-  // The server of a certificate issue dies without an answer. A second dispatch could issue the
-  // certificate twice; the caller must hear that the outcome is unknown.
+test('never retries a non-idempotent call, even with a KV cache left', () => {
+  // A server that issues certificates fails without an answer: a second dispatch could issue the
+  // certificate twice, so the caller must be told that the outcome is unknown.
   const kv = { engine: 'p1', availableUntil: 1_500, transferMs: 60 };
-  const plan = planResume({ ...BROKEN, idempotent: false, kv }, MEANS, 0);
+  const plan = planResume({ ...STREAM, idempotent: false, kv }, CONTEXT, 0);
   assert.deepEqual(plan, { type: 'end', reason: 'not_idempotent' });
 });
 
-test('ends at once what would come too late or is beyond the budget, and spends no budget on it', () => {
-  const late = { ...MEANS, prefillWaitMs: 6_000, mayRetry: () => assert.fail('asked for budget') };
-  assert.deepEqual(planResume(BROKEN, late, 0), { type: 'end', reason: 'too_late' });
-  const poor = { ...MEANS, mayRetry: () => false };
-  assert.deepEqual(planResume(BROKEN, poor, 0), { type: 'end', reason: 'budget_spent' });
+test('ends a stream that can not resume in time, uncharged, or whose budget is exhausted', () => {
+  const late = {
+    ...CONTEXT,
+    prefillWaitMs: 6_000,
+    mayRetry: () => assert.fail('the budget was charged'),
+  };
+  assert.deepEqual(planResume(STREAM, late, 0), { type: 'end', reason: 'too_late' });
+  const exhausted = { ...CONTEXT, mayRetry: () => false };
+  assert.deepEqual(planResume(STREAM, exhausted, 0), { type: 'end', reason: 'budget_spent' });
 });
