--- a/packages/decisions/src/rates/CountedRates.ts
+++ b/packages/decisions/src/rates/CountedRates.ts
@@ -3,124 +3,124 @@
 import { UNKNOWN_PEER } from './ratePeers.ts';
 import type { CrowdReport, RatePeer } from './ratePeers.ts';
 
-/** How far all hosts together may go beyond a team's rate without breaking it. */
+/** Tolerance by which all hosts together may exceed a team's rate. */
 export interface RateTolerance {
-  /** Part of the rate, such as 0.1. */
+  /** Fraction of the rate, such as 0.1. */
   readonly over: number;
-  /** Tokens beyond that in any window. */
+  /** Tokens allowed beyond that in any window. */
   readonly slackTokens: Tokens;
   /** Length of a window, in milliseconds. */
   readonly windowMs: Millis;
 }
 
-/** What came of charging a team. */
+/** Result of charging a team. */
 export type ChargeOutcome =
   { readonly type: 'charged' } | { readonly type: 'over_rate'; readonly retryAfterMs: Millis };
 
-/** Part of the tolerance that is given away; the rest covers charges that peers do not know yet. */
-const USED_TOLERANCE = 0.8;
+/** Fraction of the tolerance added to the rate; the rest covers charges not yet known to peers. */
+const USED_TOLERANCE_FRACTION = 0.8;
 
-/** Part of the slack that goes into the pace; the rest goes into the burst. */
-const PACED_SLACK = 0.5;
+/** Fraction of the slack that raises the refill rate; the rest raises the burst. */
+const SLACK_REFILL_FRACTION = 0.5;
 
-/** Milliseconds over which the pace of a peer's charges is measured: some requests of one team. */
-const PACE_MS: Millis = 1_000;
+/** Time constant of the mean rate of a peer's charges, in milliseconds: some requests of one team. */
+const RATE_AVERAGING_MS: Millis = 1_000;
 
 const MS_PER_SECOND = 1_000;
 
 interface Bucket {
+  /** Refill rate in tokens a millisecond. */
   readonly perMs: number;
   readonly capacity: Tokens;
   readonly level: number;
 }
 
-/** Names under which peers are kept that a relaying host has heard, and those that it has not. */
-const HEARD_CROWD = 'heard by a relay';
-const SILENT_CROWD = 'not heard by a relay';
+/** Keys of the two groups of peers under relayed gossip: those that the relay hears, and the rest. */
+const HEARD_GROUP = 'heard by a relay';
+const SILENT_GROUP = 'not heard by a relay';
 
 /**
- * Charges teams against the rate that all hosts share, by what the hosts count.
+ * Rate limits of teams, enforced by all hosts together through gossip of what each has charged.
  *
- * Each host keeps one bucket for the whole rate of a team, takes out what it charges itself, and what
- * its peers say that they have charged. So a team may send all its requests to one host. Between two
- * hints a peer is taken to go on at its pace, and its next hint sets that right; what it charges
- * beyond is covered by the tolerance, and is made up afterwards, since the level goes below zero.
+ * Each host keeps a token bucket with a team's whole rate, and deducts its own charges and those that
+ * its peers report, so a team may send all its requests to one host. Between two gossip messages a
+ * peer's charges are extrapolated at its recent rate, which its next message corrects. Charges beyond
+ * the extrapolation are covered by the tolerance and made up for later, as the level goes below zero.
  *
- * A peer that is silent may be dead, or cut off and serving callers all the same; nobody can tell
- * which. It is taken to use one equal part of the rate, and uses no more itself, since it hears
- * nobody; the burst is divided in the same way. So no set of hosts that lost each other can break a
- * rate, whatever the store does.
+ * A silent peer has failed, or is partitioned and still serves callers; the two look the same. It is
+ * assumed to use an equal share of the rate and of the burst, and it uses no more, since it hears
+ * nobody either. So hosts that lost contact can't exceed a rate together, whatever the store does.
  */
 export class CountedRates {
   private readonly tolerance: RateTolerance;
 
   private readonly buckets = new Map<TeamId, Bucket>();
 
-  /** What this host has charged since it started. */
+  /** Tokens that this host has charged since it started. */
   private readonly totals = new Map<TeamId, Tokens>();
 
-  /** Until when callers of a team were told to come back, one after the other. */
-  private readonly returnsUntil = new Map<TeamId, Millis>();
+  /** Time from which the next refused caller of a team is to retry. */
+  private readonly nextRetryAt = new Map<TeamId, Millis>();
 
-  /** All other hosts that may be serving callers, one by one or as two crowds. */
+  /** Charges of all other hosts, host by host or, under relayed gossip, as two groups. */
   private readonly peers = new Map<HostId, RatePeer>();
 
   private sharers: readonly HostId[] = [];
 
-  private settledAt: Millis = 0;
+  private updatedAt: Millis = 0;
 
-  /** @param tolerance - How far hosts may go beyond a rate together. */
+  /** @param tolerance - Tolerance by which all hosts together may exceed a rate. */
   constructor(tolerance: RateTolerance) {
     this.tolerance = tolerance;
   }
 
-  /** Takes changed rates into force; a team that is not among them is not limited. */
+  /** Applies changed rates; a team without a rate is not limited. */
   reshape(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
-    this.settle(now);
+    this.advance(now);
     [...this.buckets.keys()]
       .filter((team) => !rates.has(team))
       .forEach((team) => this.buckets.delete(team));
     rates.forEach((rate, team) => {
-      const shape = this.shapeOf(rate);
-      // A host that has just started knows nothing of what others charged a moment ago.
-      const first = shape.capacity / this.hostCount();
-      const level = Math.min(this.buckets.get(team)?.level ?? first, shape.capacity);
-      this.buckets.set(team, { ...shape, level });
+      const limits = this.limitsOf(rate);
+      // A host that has just started does not know what others have charged lately.
+      const initialLevel = limits.capacity / this.hostCount();
+      const level = Math.min(this.buckets.get(team)?.level ?? initialLevel, limits.capacity);
+      this.buckets.set(team, { ...limits, level });
     });
   }
 
-  /** Takes a changed set of other hosts into force. */
+  /** Sets the other hosts that share the rates. */
   setSharers(hosts: readonly HostId[], now: Millis): void {
-    this.settle(now);
+    this.advance(now);
     this.sharers = hosts;
-    const crowd = this.peers.get(HEARD_CROWD);
-    if (crowd === undefined) this.listPeers();
-    else this.setCrowds(crowd);
+    const heardGroup = this.peers.get(HEARD_GROUP);
+    if (heardGroup === undefined) this.trackHosts();
+    else this.trackGroups(heardGroup);
   }
 
-  /** Takes in what a relaying host has heard of all peers; it replaces what they said themselves. */
+  /** Applies a relay's digest of all peers' charges; it replaces the peers' own reports. */
   receiveDigest({ relay, incarnation, heard, totals }: CrowdReport, now: Millis): void {
-    this.settle(now);
-    const known = this.peers.get(HEARD_CROWD);
+    this.advance(now);
+    const known = this.peers.get(HEARD_GROUP);
     const source = `${relay} ${incarnation}`;
-    const spoke = known !== undefined && !this.isSilent(known, now) ? known : undefined;
-    // Another relay counts from another start: its sums can't be compared with those of the last one.
-    const isContinuous = spoke?.incarnation === source;
-    if (spoke !== undefined && isContinuous) this.correct(spoke, totals);
-    const lastPaces = spoke?.paces ?? this.firstPaces(heard);
+    const previous = known !== undefined && !this.isSilent(known, now) ? known : undefined;
+    // Totals of another relay count from another start, so their difference says nothing.
+    const isContinuous = previous?.incarnation === source;
+    if (previous !== undefined && isContinuous) this.reconcile(previous, totals);
+    const lastPaces = previous?.paces ?? this.equalShares(heard);
     const paces =
-      spoke !== undefined && isContinuous ? this.measure(spoke, totals, now) : lastPaces;
+      previous !== undefined && isContinuous ? this.measureRates(previous, totals, now) : lastPaces;
     const hosts = Math.min(heard, this.sharers.length);
     const assumed = new Map<TeamId, Tokens>();
-    this.setCrowds({ hosts, incarnation: source, receivedAt: now, totals, paces, assumed });
+    this.trackGroups({ hosts, incarnation: source, receivedAt: now, totals, paces, assumed });
   }
 
   /**
-   * Takes in what a peer has charged since it started.
+   * Applies a peer's report of what it has charged since it started.
    *
    * @param host - The peer.
-   * @param incarnation - Its start; a new one counts from zero.
-   * @param totals - Tokens by team; teams that it does not name are as before.
+   * @param incarnation - Its incarnation; a new one counts from zero.
+   * @param totals - Tokens by team; teams left out are unchanged.
    * @param now - Present time.
    */
   receive(
@@ -129,16 +129,16 @@
     totals: ReadonlyMap<TeamId, Tokens>,
     now: Millis,
   ): void {
-    this.settle(now);
-    if (this.peers.has(HEARD_CROWD)) this.listPeers();
+    this.advance(now);
+    if (this.peers.has(HEARD_GROUP)) this.trackHosts();
     const known = this.peers.get(host);
     if (known === undefined) return;
-    const isSame = known.incarnation === incarnation;
-    const merged = new Map([...(isSame ? known.totals : []), ...totals]);
-    // What a peer charged while it was silent is covered by the equal part that it was given.
-    const isContinuous = isSame && !this.isSilent(known, now);
-    if (isContinuous) this.correct(known, merged);
-    const paces = isContinuous ? this.measure(known, merged, now) : this.firstPaces(1);
+    const isSameStart = known.incarnation === incarnation;
+    const merged = new Map([...(isSameStart ? known.totals : []), ...totals]);
+    // Charges of a peer while it was silent are covered by the equal share assumed for it.
+    const isContinuous = isSameStart && !this.isSilent(known, now);
+    if (isContinuous) this.reconcile(known, merged);
+    const paces = isContinuous ? this.measureRates(known, merged, now) : this.equalShares(1);
     const assumed = new Map<TeamId, Tokens>();
     this.peers.set(host, {
       hosts: 1,
@@ -151,19 +151,19 @@
   }
 
   /**
-   * Takes tokens out of a team's rate. A request larger than the burst passes when the bucket is
-   * full, and the next ones wait until that is made up.
+   * Charges tokens to a team's rate. A request larger than the burst passes if the bucket is full, and
+   * later ones are refused until the deficit is refilled.
    *
    * @param team - The team.
-   * @param tokens - What the request may use.
+   * @param tokens - Most tokens that the request may use.
    * @param now - Present time.
-   * @returns Whether they were taken, or when they will be there.
+   * @returns Whether they were charged, or in how many milliseconds to retry.
    */
   charge(team: TeamId, tokens: Tokens, now: Millis): ChargeOutcome {
-    this.settle(now);
+    this.advance(now);
     const bucket = this.buckets.get(team);
     if (bucket === undefined) return { type: 'charged' };
-    const needed = Math.min(tokens, bucket.capacity * this.ownPart(now));
+    const needed = Math.min(tokens, bucket.capacity * this.ownShare(now));
     if (bucket.level < needed) {
       return this.refuse(team, bucket, needed - bucket.level, tokens, now);
     }
@@ -172,35 +172,35 @@
     return { type: 'charged' };
   }
 
-  /** Gives back what a request did not use. */
+  /** Refunds tokens that a request did not use. */
   refund(team: TeamId, tokens: Tokens, now: Millis): void {
-    this.settle(now);
-    this.takeOut(team, -tokens);
+    this.advance(now);
+    this.deduct(team, -tokens);
     this.totals.set(team, (this.totals.get(team) ?? 0) - tokens);
   }
 
-  /** Gets what this host has charged since it started, to be told to its peers. */
+  /** Gets the tokens that this host has charged since it started, to be sent to its peers. */
   getTotals(): ReadonlyMap<TeamId, Tokens> {
     return this.totals;
   }
 
-  /** Gets what decides on a team's requests now, for the log. */
+  /** Gets a team's bucket level and the number of silent peers, for the log. */
   inspect(team: TeamId, now: Millis): { readonly level: Tokens; readonly silentPeers: number } {
-    this.settle(now);
+    this.advance(now);
     return { level: this.buckets.get(team)?.level ?? Infinity, silentPeers: this.countSilent(now) };
   }
 
   /** Gets the level of each team's bucket, for the state dump. */
   dump(now: Millis): Readonly<Record<TeamId, number>> {
-    this.settle(now);
+    this.advance(now);
     return Object.fromEntries(
       [...this.buckets].map(([team, { level }]) => [team, Math.floor(level)]),
     );
   }
 
   /**
-   * Tells a refused caller when to come back: after those who were told so before it. With one time
-   * for all they would come back together, and all but the first would be refused once more.
+   * Refuses a request and staggers its retry-after behind those of earlier refusals. With one time for
+   * all, callers would retry together, and all but the first would be refused again.
    */
   private refuse(
     team: TeamId,
@@ -209,91 +209,92 @@
     tokens: Tokens,
     now: Millis,
   ): ChargeOutcome {
-    const soonest = now + lacking / bucket.perMs;
-    const at = Math.max(soonest, this.returnsUntil.get(team) ?? 0);
-    // Every host tells its own callers, so each one lets them come at its part of the pace.
-    this.returnsUntil.set(team, at + (tokens / bucket.perMs) * this.hostCount());
-    return { type: 'over_rate', retryAfterMs: Math.ceil(at - now) };
+    const refilledAt = now + lacking / bucket.perMs;
+    const retryAt = Math.max(refilledAt, this.nextRetryAt.get(team) ?? 0);
+    // Hosts stagger retries independently, so each spaces them as for its equal share of the rate.
+    this.nextRetryAt.set(team, retryAt + (tokens / bucket.perMs) * this.hostCount());
+    return { type: 'over_rate', retryAfterMs: Math.ceil(retryAt - now) };
   }
 
-  /** Brings all buckets up to now: what came in, and what peers are taken to have charged. */
-  private settle(now: Millis): void {
-    const passedMs = now - this.settledAt;
-    if (passedMs <= 0) return;
-    this.settledAt = now;
-    const part = this.ownPart(now);
+  /** Advances all buckets to the present time: refills them and extrapolates the charges of peers. */
+  private advance(now: Millis): void {
+    const elapsedMs = now - this.updatedAt;
+    if (elapsedMs <= 0) return;
+    this.updatedAt = now;
+    const share = this.ownShare(now);
     this.buckets.forEach((bucket, team) => {
-      const level = Math.min(bucket.capacity * part, bucket.level + passedMs * bucket.perMs);
+      const level = Math.min(bucket.capacity * share, bucket.level + elapsedMs * bucket.perMs);
       this.buckets.set(team, { ...bucket, level });
     });
-    this.peers.forEach((peer, host) => this.assume(host, peer, passedMs, now));
+    this.peers.forEach((peer, host) => this.extrapolate(host, peer, elapsedMs, now));
   }
 
-  /** Keeps peers one by one, with what is known of each. */
-  private listPeers(): void {
+  /** Tracks the charges of each peer, keeping what is known of it. */
+  private trackHosts(): void {
     const known = new Map(this.peers);
     this.peers.clear();
     this.sharers.forEach((host) => this.peers.set(host, known.get(host) ?? UNKNOWN_PEER));
   }
 
-  /** Keeps peers as those that the relay hears and the rest, of whom nothing is known. */
-  private setCrowds(heard: RatePeer): void {
+  /** Tracks the peers that the relay hears as one group, and the rest as a silent one. */
+  private trackGroups(heard: RatePeer): void {
     const hosts = Math.min(heard.hosts, this.sharers.length);
     this.peers.clear();
-    this.peers.set(HEARD_CROWD, { ...heard, hosts });
-    this.peers.set(SILENT_CROWD, { ...UNKNOWN_PEER, hosts: this.sharers.length - hosts });
+    this.peers.set(HEARD_GROUP, { ...heard, hosts });
+    this.peers.set(SILENT_GROUP, { ...UNKNOWN_PEER, hosts: this.sharers.length - hosts });
   }
 
-  private assume(host: HostId, peer: RatePeer, passedMs: Millis, now: Millis): void {
-    const paces = this.isSilent(peer, now) ? this.firstPaces(peer.hosts) : peer.paces;
-    const taken = [...paces].map(([team, pace]) => [team, pace * passedMs] as const);
-    taken.forEach(([team, tokens]) => this.takeOut(team, tokens));
-    const assumed = taken.map(
+  private extrapolate(host: HostId, peer: RatePeer, elapsedMs: Millis, now: Millis): void {
+    const paces = this.isSilent(peer, now) ? this.equalShares(peer.hosts) : peer.paces;
+    const expected = [...paces].map(([team, perMs]) => [team, perMs * elapsedMs] as const);
+    expected.forEach(([team, tokens]) => this.deduct(team, tokens));
+    const assumed = expected.map(
       ([team, tokens]) => [team, tokens + (peer.assumed.get(team) ?? 0)] as const,
     );
     this.peers.set(host, { ...peer, assumed: new Map(assumed) });
   }
 
-  /** Sets what was assumed of a peer right, by what it says. */
-  private correct(known: RatePeer, totals: ReadonlyMap<TeamId, Tokens>): void {
+  /** Replaces the extrapolated charges of a peer by those that it reports. */
+  private reconcile(known: RatePeer, totals: ReadonlyMap<TeamId, Tokens>): void {
     this.buckets.forEach((_, team) => {
       const charged = (totals.get(team) ?? 0) - (known.totals.get(team) ?? 0);
-      this.takeOut(team, charged - (known.assumed.get(team) ?? 0));
+      this.deduct(team, charged - (known.assumed.get(team) ?? 0));
     });
   }
 
-  private takeOut(team: TeamId, tokens: Tokens): void {
+  private deduct(team: TeamId, tokens: Tokens): void {
     const bucket = this.buckets.get(team);
     if (bucket === undefined) return;
     const level = Math.min(bucket.capacity, bucket.level - tokens);
     this.buckets.set(team, { ...bucket, level });
   }
 
-  /** Peers of which nothing is known are taken to use their equal parts. */
-  private firstPaces(peers: number): ReadonlyMap<TeamId, number> {
-    const part = peers / this.hostCount();
-    return new Map([...this.buckets].map(([team, bucket]) => [team, bucket.perMs * part]));
+  /** Gets the charge rates assumed for unknown peers: equal shares of the teams' rates. */
+  private equalShares(peers: number): ReadonlyMap<TeamId, number> {
+    const share = peers / this.hostCount();
+    return new Map([...this.buckets].map(([team, bucket]) => [team, bucket.perMs * share]));
   }
 
-  private measure(
+  /** Gets the moving average of a peer's charge rates, updated by its new totals. */
+  private measureRates(
     known: RatePeer,
     totals: ReadonlyMap<TeamId, Tokens>,
     now: Millis,
   ): ReadonlyMap<TeamId, number> {
-    const passedMs = Math.max(1, now - (known.receivedAt ?? now));
-    const weight = 1 - Math.exp(-passedMs / PACE_MS);
+    const elapsedMs = Math.max(1, now - (known.receivedAt ?? now));
+    const weight = 1 - Math.exp(-elapsedMs / RATE_AVERAGING_MS);
     const teams = [...this.buckets.keys()];
     return new Map(
       teams.map((team) => {
         const charged = (totals.get(team) ?? 0) - (known.totals.get(team) ?? 0);
-        const before = known.paces.get(team) ?? 0;
-        return [team, before + (Math.max(0, charged) / passedMs - before) * weight];
+        const mean = known.paces.get(team) ?? 0;
+        return [team, mean + (Math.max(0, charged) / elapsedMs - mean) * weight];
       }),
     );
   }
 
-  /** Gets the part of each burst that is not left to silent hosts. */
-  private ownPart(now: Millis): number {
+  /** Gets the fraction of each burst that is not reserved for silent peers. */
+  private ownShare(now: Millis): number {
     return 1 - this.countSilent(now) / this.hostCount();
   }
 
@@ -303,7 +304,7 @@
       .reduce((sum, peer) => sum + peer.hosts, 0);
   }
 
-  /** Until a peer is silent it is taken to go on as before; two lost hints are no death. */
+  /** Tells whether a peer is silent; the timeout allows for two lost gossip messages. */
   private isSilent({ receivedAt }: RatePeer, now: Millis): boolean {
     const { silentMs } = gossipPace(this.hostCount());
     return receivedAt === undefined || now - receivedAt > silentMs;
@@ -313,14 +314,14 @@
     return this.sharers.length + 1;
   }
 
-  private shapeOf(rate: TeamRate): Pick<Bucket, 'perMs' | 'capacity'> {
+  private limitsOf(rate: TeamRate): Pick<Bucket, 'perMs' | 'capacity'> {
     const { over, slackTokens, windowMs } = this.tolerance;
-    const factor = 1 + over * USED_TOLERANCE;
-    const slack = slackTokens * USED_TOLERANCE;
-    const paced = (slack * PACED_SLACK) / windowMs;
+    const factor = 1 + over * USED_TOLERANCE_FRACTION;
+    const slack = slackTokens * USED_TOLERANCE_FRACTION;
+    const slackPerMs = (slack * SLACK_REFILL_FRACTION) / windowMs;
     return {
-      perMs: (rate.tokensPerSecond / MS_PER_SECOND) * factor + paced,
-      capacity: rate.burstTokens * factor + slack * (1 - PACED_SLACK),
+      perMs: (rate.tokensPerSecond / MS_PER_SECOND) * factor + slackPerMs,
+      capacity: rate.burstTokens * factor + slack * (1 - SLACK_REFILL_FRACTION),
     };
   }
 }
--- a/packages/decisions/src/rates/ratePeers.ts
+++ b/packages/decisions/src/rates/ratePeers.ts
@@ -1,31 +1,33 @@
 import type { HostId, Incarnation, Millis, TeamId, Tokens } from '@camphorvane/core';
 
-/** A report that stands for several peers, as a relay sums it up. */
+/** A relay's digest of the charges of all peers that it hears. */
 export interface CrowdReport {
-  /** The relaying host. */
+  /** The host that relays gossip. */
   readonly relay: HostId;
   readonly incarnation: Incarnation;
-  /** Peers whose charges are in the totals. */
+  /** Number of peers whose charges are in the totals. */
   readonly heard: number;
-  /** Tokens by team that these peers have charged since the relay's first hint of each. */
+  /** Tokens by team that these peers have charged since the relay first heard each of them. */
   readonly totals: ReadonlyMap<TeamId, Tokens>;
 }
 
-/** What a host knows of the charges of a peer, or of several together. */
+/** Charges of one peer, or of a group of peers together, as far as this host knows. */
 export interface RatePeer {
-  /** Hosts that it stands for. */
+  /** Number of hosts in the group; 1 for a single peer. */
   readonly hosts: number;
+  /** Start from which the totals count; undefined if none were received. */
   readonly incarnation: Incarnation | undefined;
-  /** When it last said something; undefined for one that never did. */
+  /** Time of the last report; undefined if there was none. */
   readonly receivedAt: Millis | undefined;
+  /** Tokens charged to each team, as last reported. */
   readonly totals: ReadonlyMap<TeamId, Tokens>;
-  /** Tokens a millisecond that it charges to each team of late. */
+  /** Recent rate of charges to each team, in tokens a millisecond. */
   readonly paces: ReadonlyMap<TeamId, number>;
-  /** Taken out of the buckets since its last hint, for what it has charged meanwhile. */
+  /** Extrapolated charges that were deducted from the buckets since the last report. */
   readonly assumed: ReadonlyMap<TeamId, Tokens>;
 }
 
-/** A peer that has said nothing yet. */
+/** A peer without a report. */
 export const UNKNOWN_PEER: RatePeer = {
   hosts: 1,
   incarnation: undefined,
--- a/packages/decisions/tests/rates/CountedRates.test.ts
+++ b/packages/decisions/tests/rates/CountedRates.test.ts
@@ -9,18 +9,18 @@
 
 interface FleetOptions {
   readonly hosts: number;
-  /** Milliseconds between two rounds of words between hosts; Infinity for hosts that are cut off. */
-  readonly wordMs: number;
-  /** Hosts that callers use. */
-  readonly used?: number;
-  /** Tokens asked for in a second over all hosts. */
-  readonly askedPerSecond: number;
+  /** Milliseconds between two rounds of gossip; Infinity if the hosts are partitioned. */
+  readonly gossipMs: number;
+  /** Number of hosts that callers send requests to; all by default. */
+  readonly usedHosts?: number;
+  /** Tokens requested each second from all hosts together. */
+  readonly requestedPerSecond: number;
   readonly requestTokens: number;
-  readonly forMs: number;
+  readonly durationMs: number;
 }
 
-/** Plays hosts that charge the same team, and gets what was charged in each step. */
-function play(options: FleetOptions): readonly number[] {
+/** Simulates hosts that charge the same team, and gets the tokens charged in each step. */
+function simulate(options: FleetOptions): readonly number[] {
   const names = Array.from({ length: options.hosts }, (_, i) => `h${i}`);
   const rates = names.map(() => new CountedRates(TOLERANCE));
   rates.forEach((one, i) => {
@@ -30,31 +30,31 @@
     );
     one.reshape(new Map([[TEAM, RATE]]), 0);
   });
-  const used = options.used ?? options.hosts;
-  let owed = 0;
+  const usedHosts = options.usedHosts ?? options.hosts;
+  let pendingTokens = 0;
   let turn = 0;
-  return Array.from({ length: options.forMs / STEP_MS }, (_, step) => {
+  return Array.from({ length: options.durationMs / STEP_MS }, (_, step) => {
     const now = step * STEP_MS;
-    if (now % options.wordMs === 0) {
+    if (now % options.gossipMs === 0) {
       rates.forEach((one, i) =>
         rates.forEach((other, j) => {
           if (i !== j) one.receive(names[j] ?? '', 's', new Map(other.getTotals()), now);
         }),
       );
     }
-    owed += (options.askedPerSecond * STEP_MS) / 1_000;
+    pendingTokens += (options.requestedPerSecond * STEP_MS) / 1_000;
     let charged = 0;
-    while (owed >= options.requestTokens) {
-      owed -= options.requestTokens;
+    while (pendingTokens >= options.requestTokens) {
+      pendingTokens -= options.requestTokens;
       turn += 1;
-      const outcome = rates[turn % used]?.charge(TEAM, options.requestTokens, now);
+      const outcome = rates[turn % usedHosts]?.charge(TEAM, options.requestTokens, now);
       if (outcome?.type === 'charged') charged += options.requestTokens;
     }
     return charged;
   });
 }
 
-/** Gets the most that was charged in any window. */
+/** Gets the most tokens charged in any window. */
 function mostInWindow(charged: readonly number[]): number {
   const steps = TOLERANCE.windowMs / STEP_MS;
   return charged.reduce(
@@ -66,55 +66,55 @@
   ).most;
 }
 
-/** What all hosts together may charge in a window. */
+/** Tokens that all hosts together may charge in a window. */
 const ALLOWED =
   ((RATE.tokensPerSecond * TOLERANCE.windowMs) / 1_000 + RATE.burstTokens) * (1 + TOLERANCE.over) +
   TOLERANCE.slackTokens;
 
 const sum = (all: readonly number[]): number => all.reduce((a, b) => a + b, 0);
 
-test('a team that uses one host alone gets its whole rate there', () => {
-  const charged = play({
+test('a team that sends all requests to one host gets its whole rate', () => {
+  const charged = simulate({
     hosts: 6,
-    wordMs: 50,
-    used: 1,
-    askedPerSecond: 9_900,
+    gossipMs: 50,
+    usedHosts: 1,
+    requestedPerSecond: 9_900,
     requestTokens: 500,
-    forMs: 20_000,
+    durationMs: 20_000,
   });
   assert.ok(sum(charged) >= 9_900 * 20 * 0.98, `${sum(charged)} tokens`);
 });
 
-// One team sends eight times its rate to all hosts. Each host learns of the others' charges a moment
-// late; if that moment counted each time anew, the team would take what others have paid for.
-test('a team far beyond its rate stays within the tolerance in every window', () => {
-  const charged = play({
+// One team sends eight times its rate to all hosts. Each host learns of the others' charges late; if
+// each delay added to the excess, the team would take the capacity of others.
+test('a team that sends far more than its rate stays within the tolerance in every window', () => {
+  const charged = simulate({
     hosts: 6,
-    wordMs: 50,
-    askedPerSecond: 80_000,
+    gossipMs: 50,
+    requestedPerSecond: 80_000,
     requestTokens: 500,
-    forMs: 30_000,
+    durationMs: 30_000,
   });
   assert.ok(mostInWindow(charged) <= ALLOWED, `${mostInWindow(charged)} of ${ALLOWED}`);
-  assert.ok(sum(charged) >= RATE.tokensPerSecond * 30, 'and gets at least its rate');
+  assert.ok(sum(charged) >= RATE.tokensPerSecond * 30, 'the team got less than its rate');
 });
 
-// The network between hosts fails, while callers still reach all of them. If each host took the
-// others for dead and used their rate, the team would get six times what it may.
-test('hosts that hear nobody stay within the tolerance together', () => {
-  const charged = play({
+// The hosts are partitioned from each other while callers still reach all of them. If each host took
+// the others for failed and used their shares, the team would get six times its rate.
+test('hosts that are partitioned from each other stay within the tolerance together', () => {
+  const charged = simulate({
     hosts: 6,
-    wordMs: Infinity,
-    askedPerSecond: 80_000,
+    gossipMs: Infinity,
+    requestedPerSecond: 80_000,
     requestTokens: 500,
-    forMs: 30_000,
+    durationMs: 30_000,
   });
   assert.ok(mostInWindow(charged) <= ALLOWED, `${mostInWindow(charged)} of ${ALLOWED}`);
 });
 
-// A host dies while the store is away, so nobody can tell that it will not come back. Callers within
-// the rate go on at the other hosts, and must not notice.
-test('a team within five sixths of its rate is served in full when one host of six is dead', () => {
+// A host fails while the store is unavailable, so nothing tells that it won't return and its share
+// stays reserved. Callers of the other hosts that are within the rest must not be refused.
+test('a team within five sixths of its rate is served in full if one host of six has failed', () => {
   const hosts = Array.from({ length: 6 }, (_, i) => `h${i}`);
   const rates = new CountedRates(TOLERANCE);
   rates.setSharers(hosts.slice(1), 0);
@@ -127,9 +127,9 @@
   assert.equal(refused, 0);
 });
 
-// A host starts anew and counts from zero. If others took its small count for a refund, the team
-// could spend what it had spent before a second time.
-test('a peer that starts anew gives nothing back', () => {
+// A host restarts and counts from zero. If its peers took the lower count for a refund, the team could
+// use the same tokens twice.
+test('the restart of a peer refunds nothing', () => {
   const rates = new CountedRates(TOLERANCE);
   rates.setSharers(['p'], 0);
   rates.reshape(new Map([[TEAM, RATE]]), 0);
@@ -140,18 +140,18 @@
   assert.equal(rates.inspect(TEAM, 100).level, before);
 });
 
-test('refused callers are told to come back one after the other', () => {
+test('refusals stagger their retry-after', () => {
   const rates = new CountedRates({ over: 0, slackTokens: 0, windowMs: 8_000 });
   rates.reshape(new Map([[TEAM, RATE]]), 0);
   rates.charge(TEAM, 10_000, 0);
-  const waits = [1, 2, 3].map(() => {
+  const retryAfterMs = [1, 2, 3].map(() => {
     const outcome = rates.charge(TEAM, 1_000, 0);
     return outcome.type === 'over_rate' ? outcome.retryAfterMs : 0;
   });
-  assert.deepEqual(waits, [100, 200, 300]);
+  assert.deepEqual(retryAfterMs, [100, 200, 300]);
 });
 
-test('what a request did not use is there for the next one', () => {
+test('tokens that a request did not use are refunded', () => {
   const rates = new CountedRates({ over: 0, slackTokens: 0, windowMs: 8_000 });
   rates.reshape(new Map([[TEAM, RATE]]), 0);
   rates.charge(TEAM, 10_000, 0);
