--- a/packages/decisions/src/service/ServiceGate.ts
+++ b/packages/decisions/src/service/ServiceGate.ts
@@ -1,28 +1,29 @@
 import type { Millis, Refusal, RequestId, TeamId, UpstreamId, WorkClass } from '@camphorvane/core';
 import { notRun, RandomSource } from '@camphorvane/core';
 
-/** A server of a plain service as the gate sees it. */
+/** A server of a plain service, with this host's limits on it. */
 export interface GateServer {
   readonly id: UpstreamId;
-  /** Calls that this host may have on the server at once. */
+  /** Most calls in flight from this host to the server. */
   readonly limit: number;
-  /** Calls that this host may send to the server now; absent where only the limit binds. */
+  /** Calls that this host may still send to the server now; absent if only the limit applies. */
   readonly allowance?: number;
 }
 
-/** A call that asks for a server. */
+/** A call to be dispatched to a server. */
 export interface GateCall {
   readonly request: RequestId;
   readonly team: TeamId;
   readonly class: WorkClass;
+  /** Longest time in the queue, in milliseconds. */
   readonly maxWaitMs: Millis;
-  /** Time from which on its answer would be late; absent where it never is. */
+  /** Time from which a dispatch would make the answer late; absent if it never would. */
   readonly lateAt?: Millis;
-  /** Servers on which this call has failed. */
+  /** Servers not to choose, since this call has failed on them. */
   readonly avoid: readonly UpstreamId[];
 }
 
-/** What the gate decided for a call. */
+/** The decision for a queued call. */
 export type GateDecision =
   | {
       readonly type: 'place';
@@ -32,72 +33,72 @@
     }
   | { readonly type: 'refuse'; readonly request: RequestId; readonly refusal: Refusal };
 
-interface WaitingCall {
+interface QueueEntry {
   readonly call: GateCall;
-  readonly since: Millis;
-  readonly giveUpAt: Millis;
+  readonly queuedAt: Millis;
+  readonly timeoutAt: Millis;
 }
 
 interface ServerState {
   readonly limit: number;
-  running: number;
-  /** Calls that may still be sent to it. */
+  inFlight: number;
+  /** Calls that may still be sent to the server. */
   allowance: number;
-  /** Not chosen before this time, because a call failed there. */
-  restUntil: Millis;
+  /** Time until which other servers are preferred, since a call failed on this one. */
+  cooldownUntil: Millis;
 }
 
 /**
- * Calls waiting for one service on one host. Calls take tens of milliseconds, so a longer queue
- * could only hold calls whose callers have given up.
+ * Most calls queued for a service on one host. Calls take tens of milliseconds, so a longer queue
+ * would only hold calls whose callers have given up.
  */
-const MAX_WAITING = 256;
+const MAX_QUEUED = 256;
 
-/** Calls of one team that may wait: a quarter, so that one team's burst leaves room for others. */
-const MAX_WAITING_PER_TEAM = 64;
+/** Most queued calls of one team: a quarter of the queue, so that a burst leaves room for others. */
+const MAX_QUEUED_PER_TEAM = 64;
 
-/** Milliseconds for which a server that failed a call is passed over while others are there. */
-const REST_MS: Millis = 1_000;
+/** Milliseconds for which other servers are preferred to one on which a call failed. */
+const FAILURE_COOLDOWN_MS: Millis = 1_000;
 
 const RETRY_AFTER_MS: Millis = 500;
 
-const CLASS_ORDER: readonly WorkClass[] = ['lookup', 'certificate', 'summary'];
+const CLASSES_BY_PRIORITY: readonly WorkClass[] = ['lookup', 'certificate', 'summary'];
 
 /**
- * Chooses servers of a plain service for waiting calls.
+ * Queue of a plain service's calls on one host, which dispatches each call to the least loaded server.
  *
- * It is made for bursts of one team against servers with few places. Within a class the team with
- * the fewest running calls goes first, so a burst delays mostly the team that sent it. A call that is
- * late lets those pass that can still be on time, and takes places that nobody else waits for.
+ * Within a class the team with the fewest calls in flight goes first, so that a burst of one team on
+ * servers with little concurrency delays mostly that team. A call that is late already yields to those
+ * that can still be on time, and takes only capacity that none of them needs.
  */
 export class ServiceGate {
   private readonly random: RandomSource;
 
   private readonly servers = new Map<UpstreamId, ServerState>();
 
-  private readonly runningByTeam = new Map<TeamId, number>();
+  private readonly inFlightByTeam = new Map<TeamId, number>();
 
-  private waiting: readonly WaitingCall[] = [];
+  private queue: readonly QueueEntry[] = [];
 
-  /** Calls that this host may have on all servers together. */
-  private most = Infinity;
+  /** Most calls in flight from this host to all servers together. */
+  private maxInFlight = Infinity;
 
-  /** @param random - Draws among servers that are equally loaded. */
+  /** @param random - Breaks ties between equally loaded servers. */
   constructor(random: RandomSource = new RandomSource(0)) {
     this.random = random;
   }
 
   /**
-   * Takes the servers of a changed configuration into force; running calls stay counted.
+   * Applies changed servers and limits; calls in flight stay counted.
    *
    * @param servers - All servers.
-   * @param most - Calls that this host may have on all of them together.
+   * @param maxInFlight - Most calls in flight from this host to all of them together.
    */
-  reshape(servers: readonly GateServer[], most = Infinity): void {
-    this.most = most;
+  reshape(servers: readonly GateServer[], maxInFlight = Infinity): void {
+    this.maxInFlight = maxInFlight;
     const kept = servers.map((server): [UpstreamId, ServerState] => {
       const old = this.servers.get(server.id);
-      const state = { running: old?.running ?? 0, restUntil: old?.restUntil ?? 0 };
+      const state = { inFlight: old?.inFlight ?? 0, cooldownUntil: old?.cooldownUntil ?? 0 };
       const { limit, allowance = Infinity } = server;
       return [server.id, { ...state, limit, allowance }];
     });
@@ -105,136 +106,137 @@
     kept.forEach(([id, state]) => this.servers.set(id, state));
   }
 
-  /** Gets how many calls wait or run. */
+  /** Gets the number of calls queued or in flight. */
   get callCount(): number {
-    return this.waiting.length + this.runningCount;
+    return this.queue.length + this.inFlightCount;
   }
 
-  /** Gets how many calls wait. */
+  /** Gets the number of queued calls. */
   get waitingCount(): number {
-    return this.waiting.length;
+    return this.queue.length;
   }
 
   /**
-   * Puts a call into the queue, or refuses it at once where the queue is full.
+   * Queues a call, or refuses it if the service has no servers or the queue is full.
    *
    * @param call - The call.
-   * @param now - The time.
-   * @returns The refusal, or undefined where the call waits for `step`.
+   * @param now - Present time.
+   * @returns The refusal, or undefined if the call was queued.
    */
   submit(call: GateCall, now: Millis): Refusal | undefined {
-    const ofTeam = this.waiting.filter((one) => one.call.team === call.team).length;
+    const queuedOfTeam = this.queue.filter((entry) => entry.call.team === call.team).length;
     if (this.servers.size === 0) {
       return notRun('no_capacity', 'The service has no servers.', RETRY_AFTER_MS);
     }
-    if (this.waiting.length >= MAX_WAITING || ofTeam >= MAX_WAITING_PER_TEAM) {
-      return notRun('queue_full', 'Too many calls wait for this service.', RETRY_AFTER_MS);
+    if (this.queue.length >= MAX_QUEUED || queuedOfTeam >= MAX_QUEUED_PER_TEAM) {
+      return notRun('queue_full', 'Too many calls are queued for this service.', RETRY_AFTER_MS);
     }
-    this.waiting = [...this.waiting, { call, since: now, giveUpAt: now + call.maxWaitMs }];
+    this.queue = [...this.queue, { call, queuedAt: now, timeoutAt: now + call.maxWaitMs }];
     return undefined;
   }
 
-  /** Takes a waiting call out, because its caller has gone. */
+  /** Removes a queued call whose caller has gone. */
   withdraw(request: RequestId): void {
-    this.waiting = this.waiting.filter((one) => one.call.request !== request);
+    this.queue = this.queue.filter((entry) => entry.call.request !== request);
   }
 
-  /** Ends a running call. */
+  /** Records that a call in flight has ended. */
   ended(team: TeamId, server: UpstreamId, failed: boolean, now: Millis): void {
     const state = this.servers.get(server);
     if (state !== undefined) {
-      state.running = Math.max(0, state.running - 1);
-      if (failed) state.restUntil = now + REST_MS;
+      state.inFlight = Math.max(0, state.inFlight - 1);
+      if (failed) state.cooldownUntil = now + FAILURE_COOLDOWN_MS;
     }
-    const left = (this.runningByTeam.get(team) ?? 1) - 1;
-    if (left > 0) this.runningByTeam.set(team, left);
-    else this.runningByTeam.delete(team);
+    const remaining = (this.inFlightByTeam.get(team) ?? 1) - 1;
+    if (remaining > 0) this.inFlightByTeam.set(team, remaining);
+    else this.inFlightByTeam.delete(team);
   }
 
-  /** Gets all decisions that are due. */
+  /** Refuses queued calls that have timed out, places others on servers, and gets these decisions. */
   step(now: Millis): readonly GateDecision[] {
-    const late = this.waiting.filter((one) => one.giveUpAt < now);
-    this.waiting = this.waiting.filter((one) => one.giveUpAt >= now);
-    const refused = late.map((one): GateDecision => ({
+    const timedOut = this.queue.filter((entry) => entry.timeoutAt < now);
+    this.queue = this.queue.filter((entry) => entry.timeoutAt >= now);
+    const refused = timedOut.map((entry): GateDecision => ({
       type: 'refuse',
-      request: one.call.request,
+      request: entry.call.request,
       refusal: notRun('target_missed', 'No server became free in time.', RETRY_AFTER_MS),
     }));
-    return [...refused, ...this.placeAll(now)];
+    return [...refused, ...this.dispatchAll(now)];
   }
 
-  /** Gets when a waiting call is given up next, if any waits. */
+  /** Gets when `step` refuses the next queued call, or undefined if none is queued. */
   nextWake(): Millis | undefined {
-    if (this.waiting.length === 0) return undefined;
-    return Math.min(...this.waiting.map((one) => one.giveUpAt)) + 1;
+    if (this.queue.length === 0) return undefined;
+    return Math.min(...this.queue.map((entry) => entry.timeoutAt)) + 1;
   }
 
-  private get runningCount(): number {
-    return [...this.servers.values()].reduce((sum, { running }) => sum + running, 0);
+  private get inFlightCount(): number {
+    return [...this.servers.values()].reduce((sum, { inFlight }) => sum + inFlight, 0);
   }
 
-  private placeAll(now: Millis): readonly GateDecision[] {
-    const placed: GateDecision[] = [];
-    let next = this.placeOne(now);
+  private dispatchAll(now: Millis): readonly GateDecision[] {
+    const decisions: GateDecision[] = [];
+    let next = this.dispatchNext(now);
     while (next !== undefined) {
-      placed.push(next);
-      next = this.placeOne(now);
+      decisions.push(next);
+      next = this.dispatchNext(now);
     }
-    return placed;
+    return decisions;
   }
 
-  private placeOne(now: Millis): GateDecision | undefined {
-    if (this.waiting.length === 0 || this.runningCount >= this.most) return undefined;
-    const ordered = [...this.waiting].sort((a, b) => this.compare(a, b, now));
+  private dispatchNext(now: Millis): GateDecision | undefined {
+    if (this.queue.length === 0 || this.inFlightCount >= this.maxInFlight) return undefined;
+    const ordered = [...this.queue].sort((a, b) => this.compare(a, b, now));
     const choice = ordered
-      .map((one) => ({ one, server: this.choose(one.call, now) }))
+      .map((entry) => ({ entry, server: this.choose(entry.call, now) }))
       .find((pair) => pair.server !== undefined);
     if (choice?.server === undefined) return undefined;
-    const { call } = choice.one;
+    const { call } = choice.entry;
     this.withdraw(call.request);
     const state = this.servers.get(choice.server);
     if (state !== undefined) {
-      state.running += 1;
+      state.inFlight += 1;
       state.allowance -= 1;
     }
-    this.runningByTeam.set(call.team, (this.runningByTeam.get(call.team) ?? 0) + 1);
-    const waitedMs = now - choice.one.since;
+    this.inFlightByTeam.set(call.team, (this.inFlightByTeam.get(call.team) ?? 0) + 1);
+    const waitedMs = now - choice.entry.queuedAt;
     return { type: 'place', request: call.request, server: choice.server, waitedMs };
   }
 
-  private compare(a: WaitingCall, b: WaitingCall, now: Millis): number {
+  private compare(a: QueueEntry, b: QueueEntry, now: Millis): number {
     const byLateness = Number(isLate(a, now)) - Number(isLate(b, now));
     if (byLateness !== 0) return byLateness;
-    const byClass = CLASS_ORDER.indexOf(a.call.class) - CLASS_ORDER.indexOf(b.call.class);
+    const byClass =
+      CLASSES_BY_PRIORITY.indexOf(a.call.class) - CLASSES_BY_PRIORITY.indexOf(b.call.class);
     if (byClass !== 0) return byClass;
-    const running = (one: WaitingCall): number => this.runningByTeam.get(one.call.team) ?? 0;
-    return running(a) - running(b);
+    const inFlight = (entry: QueueEntry): number => this.inFlightByTeam.get(entry.call.team) ?? 0;
+    return inFlight(a) - inFlight(b);
   }
 
   /**
-   * Gets the least loaded server with room; one that failed lately only where no other has.
+   * Chooses the least loaded server with free capacity; one that failed lately only if no other has any.
    *
-   * Equals are drawn by lot. A host of a large fleet has nothing on most servers most of the time; if
-   * each took the first of the list, that one would get twice as many calls as the others.
+   * Ties are broken at random. In a large fleet, each host has no calls on most servers most of the
+   * time; if all hosts took the first of the list, that server would get twice the calls of the others.
    */
   private choose(call: GateCall, now: Millis): UpstreamId | undefined {
-    const open = [...this.servers]
-      .filter(([id, state]) => hasRoom(state) && !call.avoid.includes(id))
-      .map(([id, state]) => ({ id, state, lot: this.random.next() }))
-      .sort((a, b) => loadOf(a.state) - loadOf(b.state) || a.lot - b.lot);
-    const rested = open.find(({ state }) => state.restUntil <= now);
-    return (rested ?? open[0])?.id;
+    const candidates = [...this.servers]
+      .filter(([id, state]) => hasCapacity(state) && !call.avoid.includes(id))
+      .map(([id, state]) => ({ id, state, tieBreaker: this.random.next() }))
+      .sort((a, b) => loadOf(a.state) - loadOf(b.state) || a.tieBreaker - b.tieBreaker);
+    const preferred = candidates.find(({ state }) => state.cooldownUntil <= now);
+    return (preferred ?? candidates[0])?.id;
   }
 }
 
-function isLate({ call: { lateAt = Infinity } }: WaitingCall, now: Millis): boolean {
+function isLate({ call: { lateAt = Infinity } }: QueueEntry, now: Millis): boolean {
   return lateAt <= now;
 }
 
-function hasRoom({ running, limit, allowance }: ServerState): boolean {
-  return running < limit && allowance > 0;
+function hasCapacity({ inFlight, limit, allowance }: ServerState): boolean {
+  return inFlight < limit && allowance > 0;
 }
 
-function loadOf({ running, limit }: ServerState): number {
-  return running / limit;
+function loadOf({ inFlight, limit }: ServerState): number {
+  return inFlight / limit;
 }
--- a/packages/decisions/src/service/placeShare.ts
+++ b/packages/decisions/src/service/placeShare.ts
@@ -1,31 +1,31 @@
-/** What a host's share of a service's places follows from. */
+/** Capacity of a service and demand of the hosts, from which a host's share follows. */
 export interface PlaceShareView {
-  /** Calls that all servers of the service run at once. */
+  /** Calls that all servers of the service run concurrently. */
   readonly places: number;
-  /** Calls that this host has on them, or waiting for them. */
+  /** Calls of this host that are in flight or queued. */
   readonly own: number;
-  /** Calls that the hosts have which were heard lately, this one left out. */
+  /** Calls of the other hosts that are not silent. */
   readonly others: number;
-  /** Hosts that were not heard lately. */
+  /** Number of silent hosts: those without a recent gossip message. */
   readonly unheard: number;
-  /** All hosts. */
+  /** Number of all hosts. */
   readonly hosts: number;
 }
 
 /**
- * Gets how many calls a host may have on a service's servers.
+ * Gets a host's share of a service's concurrency.
  *
- * Made for callers that come to a few of the hosts: with equal parts, those hosts refuse calls while
- * the places of the others stay empty. Each host gets what it has calls for, and an equal part of what
- * is left then; where there is not enough, each gets its part of the calls. A host that says nothing may
- * be using its equal part.
+ * If callers use only a few hosts, equal shares would make these refuse calls while the shares of the
+ * others stay unused. So each host gets capacity for its own calls and an equal share of what is left;
+ * if there is too little, capacity is divided in proportion to the hosts' calls. A silent host may be
+ * using its equal share, which is kept for it.
  *
- * @param view - The places and who wants them.
- * @returns Places, not rounded.
+ * @param view - The capacity and the calls of the hosts.
+ * @returns Most calls in flight, not rounded.
  */
 export function placeShare({ places, own, others, unheard, hosts }: PlaceShareView): number {
-  const known = Math.max(0, places - (unheard * places) / hosts);
-  const wanted = own + others;
-  if (wanted <= known) return own + (known - wanted) / Math.max(1, hosts - unheard);
-  return (known * own) / wanted;
+  const available = Math.max(0, places - (unheard * places) / hosts);
+  const demand = own + others;
+  if (demand <= available) return own + (available - demand) / Math.max(1, hosts - unheard);
+  return (available * own) / demand;
 }
--- a/packages/decisions/tests/service/ServiceGate.spread.test.ts
+++ b/packages/decisions/tests/service/ServiceGate.spread.test.ts
@@ -3,9 +3,9 @@
 import { RandomSource } from '@camphorvane/core';
 import { ServiceGate } from '@camphorvane/decisions';
 
-// Ninety hosts get a call now and then, each while it has nothing else on any server. If each chose the
-// first of equals, one server would have all calls and its callers would wait, beside idle servers.
-test('calls of many hosts that are idle themselves are spread over all servers', () => {
+// Guards against a tie-break by list order: 90 hosts without other calls in flight would all choose the
+// first of the equally loaded servers, and its callers would wait beside idle servers.
+test('calls of many hosts without other calls in flight are spread over all servers', () => {
   const servers = ['s1', 's2', 's3', 's4'];
   const counts = new Map<string, number>();
   Array.from({ length: 90 }, (_, host) => host).forEach((host) => {
--- a/packages/decisions/tests/service/placeShare.test.ts
+++ b/packages/decisions/tests/service/placeShare.test.ts
@@ -2,26 +2,26 @@
 import { test } from 'node:test';
 import { placeShare } from '@camphorvane/decisions';
 
-const SITE = { places: 18, hosts: 6, unheard: 0 };
+const SERVICE = { places: 18, hosts: 6, unheard: 0 };
 
-test('a host that has many calls gets places that the others leave empty', () => {
-  assert.equal(placeShare({ ...SITE, own: 9, others: 3 }), 10);
+test('a host with many calls gets capacity that the others do not use', () => {
+  assert.equal(placeShare({ ...SERVICE, own: 9, others: 3 }), 10);
 });
 
-test('where all places are wanted each host gets its part of the calls', () => {
-  assert.equal(placeShare({ ...SITE, own: 24, others: 12 }), 12);
+test('under overload the capacity is divided in proportion to the calls', () => {
+  assert.equal(placeShare({ ...SERVICE, own: 24, others: 12 }), 12);
 });
 
-// A host is cut off from all others. It must not take the places that they use unheard.
-test('a host that hears nobody keeps to its equal part', () => {
+// A host that is partitioned from all others must not take the capacity that they may be using.
+test('a host that hears no other host keeps to its equal share', () => {
   [0, 2, 30].forEach((own) =>
-    assert.equal(placeShare({ ...SITE, own, others: 0, unheard: 5 }), own > 3 ? 3 : 3),
+    assert.equal(placeShare({ ...SERVICE, own, others: 0, unheard: 5 }), own > 3 ? 3 : 3),
   );
 });
 
-test('hosts that hear each other never get more than there is', () => {
+test('the shares of hosts that hear each other do not exceed the capacity', () => {
   const calls = [14, 9, 5, 2, 0, 0];
-  const all = calls.reduce((sum, own) => sum + own, 0);
-  const given = calls.map((own) => placeShare({ ...SITE, own, others: all - own }));
-  assert.ok(given.reduce((sum, share) => sum + share, 0) <= SITE.places + 1e-9, given.join());
+  const total = calls.reduce((sum, own) => sum + own, 0);
+  const shares = calls.map((own) => placeShare({ ...SERVICE, own, others: total - own }));
+  assert.ok(shares.reduce((sum, share) => sum + share, 0) <= SERVICE.places + 1e-9, shares.join());
 });
