--- a/packages/decisions/src/FairPoolScheduler.ts
+++ b/packages/decisions/src/FairPoolScheduler.ts
@@ -33,40 +33,45 @@
 /** Options of a {@link FairPoolScheduler}. */
 export interface FairPoolSchedulerOptions {
   readonly random: RandomSource;
-  /** Put before each reservation's number; must differ between stewards. A random one if absent. */
+  /** Prefix of reservation ids, different for each steward; random if absent. */
   readonly reservationPrefix?: string;
-  /** Life of a reservation that is not renewed, in milliseconds. */
+  /** Milliseconds after which a reservation expires unless it is renewed. */
   readonly reservationTtlMs?: Millis;
   readonly queueLimits?: QueueLimits;
 }
 
 /**
- * Long enough that a holder which renews each second survives two lost messages; short enough that
- * the memory of a host that died is back within seconds.
+ * Default time to live of a reservation. A holder that renews each second may lose two messages, and
+ * the memory of a failed host is free again within seconds.
  */
 const DEFAULT_RESERVATION_TTL_MS = 3_000;
 
 /**
- * Time for which memory stays booked after its reservation was reclaimed, so that the engine has
- * dropped the request before the memory is given to another.
+ * Milliseconds for which memory stays reserved after its reservation is reclaimed, so that the engine
+ * has dropped the request before the memory is reserved again.
  */
 const RECLAIM_GRACE_MS = 250;
 
-/** Teams whose first request is tried in one class before the step gives up. */
-const TEAMS_TRIED = 4;
+/** Most teams of a class whose first request is tried for one placement. */
+const MAX_TEAMS_TRIED = 4;
 
-/** Part of the expected time to the first token that is surely needed, whatever the estimate's error. */
-const SURELY_NEEDED = 0.8;
+/** Fraction of the estimated time to the first token that is certainly needed, despite its error. */
+const MIN_TTFT_FRACTION = 0.8;
 
-const PRIORITY: Readonly<Record<WorkClass, number>> = { lookup: 0, certificate: 1, summary: 2 };
+/** Priority passed to engines; lower goes first. */
+const CLASS_PRIORITY: Readonly<Record<WorkClass, number>> = {
+  lookup: 0,
+  certificate: 1,
+  summary: 2,
+};
 
 const MAX_RANDOM_PREFIX = 2 ** 31 - 1;
 
 /**
- * The scheduler of a pool: an exact ledger of decode memory, a queue that is fair across teams, and
- * placements of prefill and decode together.
+ * Scheduler of a pool with an exact ledger of decode memory and a queue that is fair across teams. It
+ * places prefill and decode of a request together.
  *
- * Every call costs at most the logarithm of engines, teams and waiting requests.
+ * Each call takes time logarithmic in the number of engines, teams and queued requests at most.
  */
 export class FairPoolScheduler implements PoolScheduler {
   private readonly memory = new MemoryLedger();
@@ -81,15 +86,16 @@
 
   private readonly queue = new FairQueue();
 
-  private readonly shares = new ClassShares();
+  private readonly classShares = new ClassShares();
 
-  private readonly drain = new DrainRate();
+  private readonly drainRate = new DrainRate();
 
-  private readonly waiting = new Map<RequestId, QueuedWork>();
+  private readonly queuedWork = new Map<RequestId, QueuedWork>();
 
-  private readonly giveUps = new IndexedHeap<RequestId>();
+  /** Queued requests by the time at which they are refused. */
+  private readonly timeouts = new IndexedHeap<RequestId>();
 
-  private readonly book: ReservationBook;
+  private readonly reservations: ReservationBook;
 
   private readonly admission: Admission;
 
@@ -97,64 +103,66 @@
 
   private ttftTargetMs: Millis;
 
-  private due: SchedulerDecision[] = [];
+  /** Decisions for the next `step` to return. */
+  private pendingDecisions: SchedulerDecision[] = [];
 
+  /** When to try requests again for which only a link was busy. */
   private linkRetryAt: Millis = Infinity;
 
   /**
-   * @param shape - The pool.
-   * @param opts - Randomness and limits.
+   * @param shape - The pool's configuration.
+   * @param opts - Random source and limits.
    */
   constructor(shape: PoolShape, opts: FairPoolSchedulerOptions) {
     this.links = new LinkLedger(shape.linkPiecesPerSecond);
     this.table = new EngineTable(shape, this.memory, this.links, this.cache);
     this.chooser = new EngineChooser(this.table, this.links);
     const limits = opts.queueLimits ?? DEFAULT_QUEUE_LIMITS;
-    this.admission = new Admission(this.queue, this.table, this.drain, limits);
+    this.admission = new Admission(this.queue, this.table, this.drainRate, limits);
     this.ttlMs = opts.reservationTtlMs ?? DEFAULT_RESERVATION_TTL_MS;
     this.ttftTargetMs = shape.ttftTargetMs;
     const prefix = opts.reservationPrefix ?? opts.random.int(0, MAX_RANDOM_PREFIX).toString(36);
-    this.book = new ReservationBook(this.memory, this.table, prefix);
+    this.reservations = new ReservationBook(this.memory, this.table, prefix);
   }
 
   submit(item: WorkItem, now: Millis): void {
-    if (this.waiting.has(item.request)) return;
-    const placed = this.book.getPlaced(item.request);
+    if (this.queuedWork.has(item.request)) return;
+    const placed = this.reservations.getPlaced(item.request);
     if (placed !== undefined) {
-      // The answer to the first submission was lost: a second placement would hold memory twice.
-      this.due.push(placed);
+      // The decision on the first submission was lost; a second placement would reserve memory twice.
+      this.pendingDecisions.push(placed);
       return;
     }
-    const work = this.toWork(item, now);
+    const work = this.toQueuedWork(item, now);
     const refusal = this.admission.refuseAtOnce(work, now);
     if (refusal !== undefined) {
-      this.due.push(refusal);
+      this.pendingDecisions.push(refusal);
       return;
     }
-    this.waiting.set(item.request, work);
+    this.queuedWork.set(item.request, work);
     this.queue.push(work);
-    this.giveUps.set(item.request, work.giveUpAt);
+    this.timeouts.set(item.request, work.giveUpAt);
   }
 
   withdraw(request: RequestId, _now: Millis): void {
-    const work = this.waiting.get(request);
-    if (work !== undefined) this.leaveQueue(work);
+    const work = this.queuedWork.get(request);
+    if (work !== undefined) this.dequeue(work);
   }
 
   renew(reservation: ReservationId, now: Millis): boolean {
-    return this.book.renew(reservation, now + this.ttlMs);
+    return this.reservations.renew(reservation, now + this.ttlMs);
   }
 
   prefillEnded(reservation: ReservationId, _now: Millis): void {
-    this.book.prefillEnded(reservation);
+    this.reservations.prefillEnded(reservation);
   }
 
   release(reservation: ReservationId, _end: ReservationEnd, _now: Millis): void {
-    this.book.release(reservation);
+    this.reservations.release(reservation);
   }
 
   adopt(reservation: AdoptedReservation, now: Millis): void {
-    this.book.adopt(reservation, now + this.ttlMs);
+    this.reservations.adopt(reservation, now + this.ttlMs);
   }
 
   observe(observation: EngineObservation, now: Millis): void {
@@ -170,56 +178,56 @@
     this.linkRetryAt = Infinity;
     this.table.endPauses(now);
     this.reclaimExpired(now);
-    this.giveUpLate(now);
-    this.drain.advance(now, this.queue.size > 0);
+    this.refuseTimedOut(now);
+    this.drainRate.advance(now, this.queue.size > 0);
     while (this.placeNext(now));
-    this.drain.advance(now, this.queue.size > 0);
-    const decisions = this.due;
-    this.due = [];
+    this.drainRate.advance(now, this.queue.size > 0);
+    const decisions = this.pendingDecisions;
+    this.pendingDecisions = [];
     return decisions;
   }
 
   nextWake(now: Millis): Millis | undefined {
-    if (this.due.length > 0) return now;
+    if (this.pendingDecisions.length > 0) return now;
     const next = Math.min(
       this.memory.nextExpiry ?? Infinity,
-      this.giveUps.peekKey() ?? Infinity,
+      this.timeouts.peekKey() ?? Infinity,
       this.linkRetryAt,
       this.table.nextTrial ?? Infinity,
     );
     return next === Infinity ? undefined : Math.max(now, next);
   }
 
-  /** Sets whether an engine is to get no new work, because it leaves or changes its role. */
+  /** Sets whether an engine gets no new work, since it leaves the pool or changes its role. */
   setDraining(engine: UpstreamId, draining: boolean): void {
     this.table.setDraining(engine, draining);
   }
 
-  /** Gets how many reservations an engine carries; a draining engine is empty at 0. */
+  /** Gets the number of reservations that use an engine; a draining engine has none left once it is drained. */
   getHolders(engine: UpstreamId): number {
-    return this.book.getHolders(engine);
+    return this.reservations.getHolders(engine);
   }
 
-  /** Gets how many requests wait. */
+  /** Gets the number of queued requests. */
   get waitingCount(): number {
-    return this.waiting.size;
+    return this.queuedWork.size;
   }
 
-  /** Gets how many reservations are booked, including those being reclaimed. */
+  /** Gets the number of reservations, including those being reclaimed. */
   get reservationCount(): number {
     return this.memory.size;
   }
 
-  private toWork(item: WorkItem, now: Millis): QueuedWork {
+  private toQueuedWork(item: WorkItem, now: Millis): QueuedWork {
     const cost = item.promptTokens + item.maxOutputTokens;
-    const lookup = item.class === 'lookup';
-    const waitMs = lookup ? Math.min(item.maxWaitMs, this.ttftTargetMs) : item.maxWaitMs;
-    const neededMs = lookup ? this.chooser.getLeastMs(item, now) * SURELY_NEEDED : 0;
+    const isLookup = item.class === 'lookup';
+    const waitMs = isLookup ? Math.min(item.maxWaitMs, this.ttftTargetMs) : item.maxWaitMs;
+    const minTtftMs = isLookup ? this.chooser.getLeastMs(item, now) * MIN_TTFT_FRACTION : 0;
     return {
       item,
       submittedAt: now,
       lateAt: now + waitMs,
-      giveUpAt: now + waitMs - neededMs,
+      giveUpAt: now + waitMs - minTtftMs,
       pieces: piecesFor(cost),
       cost,
       previous: undefined,
@@ -227,45 +235,45 @@
     };
   }
 
-  private leaveQueue(work: QueuedWork): void {
-    this.waiting.delete(work.item.request);
-    this.giveUps.delete(work.item.request);
+  private dequeue(work: QueuedWork): void {
+    this.queuedWork.delete(work.item.request);
+    this.timeouts.delete(work.item.request);
     this.queue.remove(work);
   }
 
   private reclaimExpired(now: Millis): void {
     let reservation = this.memory.expired(now);
     while (reservation !== undefined) {
-      const reclaim = this.book.reclaim(reservation, now + RECLAIM_GRACE_MS);
-      if (reclaim !== undefined) this.due.push(reclaim);
+      const reclaim = this.reservations.reclaim(reservation, now + RECLAIM_GRACE_MS);
+      if (reclaim !== undefined) this.pendingDecisions.push(reclaim);
       reservation = this.memory.expired(now);
     }
   }
 
-  private giveUpLate(now: Millis): void {
-    let request = this.giveUps.peek();
-    while (request !== undefined && (this.giveUps.peekKey() ?? Infinity) <= now) {
-      const work = this.waiting.get(request);
-      if (work === undefined) this.giveUps.delete(request);
-      else this.giveUp(work);
-      request = this.giveUps.peek();
+  private refuseTimedOut(now: Millis): void {
+    let request = this.timeouts.peek();
+    while (request !== undefined && (this.timeouts.peekKey() ?? Infinity) <= now) {
+      const work = this.queuedWork.get(request);
+      if (work === undefined) this.timeouts.delete(request);
+      else this.refuse(work);
+      request = this.timeouts.peek();
     }
   }
 
-  /** Refuses a waiting request at once: held back, it would only keep its caller from leaving. */
-  private giveUp(work: QueuedWork): void {
-    this.leaveQueue(work);
-    this.due.push(this.admission.refuseLate(work.item));
+  /** Refuses a queued request now: a later refusal would only keep its caller from going elsewhere. */
+  private refuse(work: QueuedWork): void {
+    this.dequeue(work);
+    this.pendingDecisions.push(this.admission.refuseLate(work.item));
   }
 
-  /** Places one request; false where none can be placed now. */
+  /** Places one request; false if none can be placed now. */
   private placeNext(now: Millis): boolean {
     const head = (name: WorkClass): QueuedWork | undefined => this.queue.find(name, () => true, 1);
-    const order = this.shares.order((name) => head(name)?.cost);
-    const waits = order.filter((name) => this.queue.getSize(name) > 0);
-    // A class that waits without finding room blocks those after it, which would take the room
-    // that it waits for; its own wait bound ends this.
-    const [first] = waits;
+    const order = this.classShares.order((name) => head(name)?.cost);
+    const queuedClasses = order.filter((name) => this.queue.getSize(name) > 0);
+    // If the first class can't be placed it blocks the others, which would take the capacity that it
+    // waits for. Its requests' longest time in the queue limits this.
+    const [first] = queuedClasses;
     return first !== undefined && this.placeOfClass(first, now);
   }
 
@@ -281,7 +289,7 @@
         }
         return result.type === 'placed';
       },
-      TEAMS_TRIED,
+      MAX_TEAMS_TRIED,
     );
     if (work === undefined || placement === undefined) return false;
     this.place(work, placement, now);
@@ -290,17 +298,19 @@
 
   private place(work: QueuedWork, placement: Placement, now: Millis): void {
     const { item } = work;
-    this.leaveQueue(work);
+    this.dequeue(work);
     this.queue.charge(work);
-    this.shares.charge(item.class, work.cost, (name) => this.queue.getSize(name) > 0);
-    this.drain.placed(work.cost);
+    this.classShares.charge(item.class, work.cost, (name) => this.queue.getSize(name) > 0);
+    this.drainRate.placed(work.cost);
     this.links.take(
       placement.decode.cfg.id,
       piecesFor(item.promptTokens),
       placement.prefillReadyAt,
       now,
     );
-    const priority = PRIORITY[item.class];
-    this.due.push(this.book.place(work, placement, priority, now, now + this.ttlMs));
+    const priority = CLASS_PRIORITY[item.class];
+    this.pendingDecisions.push(
+      this.reservations.place(work, placement, priority, now, now + this.ttlMs),
+    );
   }
 }
--- a/packages/decisions/src/PoolScheduler.ts
+++ b/packages/decisions/src/PoolScheduler.ts
@@ -13,10 +13,10 @@
   WorkClass,
 } from '@camphorvane/core';
 
-/** One request that asks for a place on a pool's engines. */
+/** A request to be placed on the engines of a pool. */
 export interface WorkItem {
   readonly request: RequestId;
-  /** Host that serves the caller; it holds the reservation and renews it. */
+  /** Host that serves the caller, and holds and renews the reservation. */
   readonly holder: HostId;
   readonly team: TeamId;
   /** Weight of the team in fair queueing. */
@@ -24,29 +24,29 @@
   readonly class: WorkClass;
   readonly promptTokens: Tokens;
   readonly maxOutputTokens: Tokens;
-  /** Digests of growing prefixes of the prompt, shortest first, with the tokens each covers. */
+  /** Prefixes of the prompt that an engine may have cached, shortest first. */
   readonly prefixes: readonly PromptPrefix[];
-  /** Longest time in the queue, in milliseconds from submission. */
+  /** Longest time in the queue from submission, in milliseconds. */
   readonly maxWaitMs: Millis;
-  /** Engines that must not be chosen, because this request failed on them. */
+  /** Engines not to choose, since this request has failed on them. */
   readonly avoid: readonly UpstreamId[];
-  /** Output that is expected; absent where nothing but the maximum is known. */
+  /** Estimated output; absent if only the maximum is known. */
   readonly expectedOutputTokens?: Tokens;
-  /** Milliseconds from submission after which the first token is late; absent where it never is. */
+  /** Milliseconds from submission after which the first token is late; absent if it never is. */
   readonly onTimeMs?: Millis;
-  /** Longest pause between events of its answer that is on time, in milliseconds; absent: any. */
+  /** Longest pause between events of an answer that is on time, in milliseconds; absent if unlimited. */
   readonly longestPauseMs?: Millis;
-  /** Rank that the operators gave; lower goes first. Absent where only the class counts. */
+  /** Priority set by the operators; lower goes first. Absent if only the class counts. */
   readonly priority?: number;
 }
 
-/** A prefix of a prompt that an engine may have in its cache. */
+/** A prefix of a prompt that an engine may have in its cache, with the tokens that it covers. */
 export interface PromptPrefix {
   readonly digest: string;
   readonly tokens: Tokens;
 }
 
-/** What the scheduler decided for one request or reservation. */
+/** A decision of the scheduler on a request or a reservation. */
 export type SchedulerDecision =
   | {
       readonly type: 'place';
@@ -56,7 +56,7 @@
       readonly prefill: UpstreamId;
       readonly decode: UpstreamId;
       readonly pieces: Pieces;
-      /** Priority given to engines; lower goes first. */
+      /** Priority passed to the engines; lower goes first. */
       readonly priority: number;
       readonly expiresAt: Millis;
       readonly expectedCachedTokens: Tokens;
@@ -68,7 +68,7 @@
       readonly refusal: Refusal;
     }
   | {
-      /** A reservation ran out: whatever its request holds on the engines is to be cancelled. */
+      /** A reservation has expired: its request is to be cancelled on both engines. */
       readonly type: 'reclaim';
       readonly request: RequestId;
       readonly reservation: ReservationId;
@@ -76,11 +76,11 @@
       readonly decode: UpstreamId;
     };
 
-/** Something seen of an engine, by load reports or by the hosts that use it. */
+/** An observation of an engine, from a load report or a host that uses it. */
 export type EngineObservation =
   | { readonly type: 'load'; readonly engine: UpstreamId; readonly load: LoadSnapshot }
   | {
-      /** Mean time between tokens over the last moments, and streams that ran meanwhile. */
+      /** Recent mean time between tokens, and the number of streams that ran meanwhile. */
       readonly type: 'token_interval';
       readonly engine: UpstreamId;
       readonly meanMs: Millis;
@@ -103,50 +103,54 @@
       readonly change: 'stored' | 'evicted';
     };
 
-/** What a scheduler needs to know of its pool. */
+/** The part of a pool's configuration that its scheduler uses. */
 export interface PoolShape {
   readonly engines: readonly EngineConfig[];
+  /** Target for the time to the first token, in milliseconds. */
   readonly ttftTargetMs: Millis;
+  /** Target for the time between two tokens, in milliseconds. */
   readonly itlTargetMs: Millis;
+  /** Bandwidth of the link into each decode engine, in pieces a second. */
   readonly linkPiecesPerSecond: number;
 }
 
-/** How far a reservation has come when it ends; what is freed depends on it. */
+/** How the request of a reservation ended; only `done` counts as a success of the decode engine. */
 export type ReservationEnd = 'done' | 'failed_before_decode' | 'failed_in_decode' | 'caller_gone';
 
 /**
- * Decides which waiting request gets which engines, without any I/O: events come in as calls, and
- * decisions come out of `step`. The steward of a pool runs one, and so does the bench.
+ * Decides which queued request is placed on which engines. It does no I/O: events are passed in by
+ * calls, and `step` returns the decisions. The steward of a pool, the host that coordinates it, runs
+ * its scheduler.
  */
 export interface PoolScheduler {
-  /** Puts a request into the queue, or decides at once that it can't be served. */
+  /** Queues a request, or refuses it if it can't be served; `step` returns the refusal. */
   submit(item: WorkItem, now: Millis): void;
 
-  /** Takes a request out of the queue because its caller has gone; unknown requests are ignored. */
+  /** Removes a queued request whose caller has gone; unknown requests are ignored. */
   withdraw(request: RequestId, now: Millis): void;
 
-  /** Extends a reservation; false where it is not known (any more). */
+  /** Extends a reservation; false if it is unknown or expired. */
   renew(reservation: ReservationId, now: Millis): boolean;
 
-  /** Marks that the prefill of a reservation is over, so that its prefill engine is free again. */
+  /** Records the end of a reservation's prefill, which frees its prefill engine. */
   prefillEnded(reservation: ReservationId, now: Millis): void;
 
-  /** Ends a reservation; unknown ones are ignored, so a repeated release does no harm. */
+  /** Releases a reservation; unknown ones are ignored, so releases are idempotent. */
   release(reservation: ReservationId, end: ReservationEnd, now: Millis): void;
 
-  /** Takes over a reservation that a holder still has from an earlier steward. */
+  /** Adopts a reservation that its holder has from an earlier steward. */
   adopt(reservation: AdoptedReservation, now: Millis): void;
 
-  /** Takes in what was seen of an engine. */
+  /** Applies an observation of an engine. */
   observe(observation: EngineObservation, now: Millis): void;
 
-  /** Takes a changed pool into force; running work on removed engines keeps its reservation. */
+  /** Applies a changed configuration; work on removed engines keeps its reservation. */
   reshape(shape: PoolShape, now: Millis): void;
 
-  /** Gets all decisions that are due. */
+  /** Advances to the present time and gets all new decisions. */
   step(now: Millis): readonly SchedulerDecision[];
 
-  /** Gets when `step` has something to do next even if nothing happens, if ever. */
+  /** Gets when to call `step` next if no event comes first; undefined if never. */
   nextWake(now: Millis): Millis | undefined;
 }
 
--- a/packages/decisions/src/ReservationBook.ts
+++ b/packages/decisions/src/ReservationBook.ts
@@ -12,32 +12,32 @@
 import type { AdoptedReservation, SchedulerDecision } from './PoolScheduler.ts';
 import type { QueuedWork } from './queue/QueuedWork.ts';
 
-/** A placement as a decision. */
+/** The scheduler decision that places a request. */
 export type PlaceDecision = Extract<SchedulerDecision, { type: 'place' }>;
 
-/** A reclaimed reservation as a decision. */
+/** The scheduler decision that reclaims a reservation. */
 export type ReclaimDecision = Extract<SchedulerDecision, { type: 'reclaim' }>;
 
-interface Booked {
+interface ReservationEntry {
   readonly request: RequestId;
   readonly holder: HostId;
   readonly prefill: UpstreamId;
   readonly decode: UpstreamId;
   readonly prefillTokens: Tokens;
-  readonly lookup: boolean;
-  /** The decision that gave the place; absent for reservations of an earlier steward. */
+  readonly isLookup: boolean;
+  /** The decision that placed the request; undefined for adopted reservations. */
   readonly decision: PlaceDecision | undefined;
   prefillRunning: boolean;
   reclaimed: boolean;
 }
 
-/** The live reservations: what each holds, and how each is freed, exactly once. */
+/** The live reservations with what each holds, which is freed exactly once. */
 export class ReservationBook {
-  private readonly booked = new Map<ReservationId, Booked>();
+  private readonly entries = new Map<ReservationId, ReservationEntry>();
 
   private readonly byRequest = new Map<RequestId, ReservationId>();
 
-  private placed = 0;
+  private lastNumber = 0;
 
   constructor(
     private readonly memory: MemoryLedger,
@@ -45,18 +45,27 @@
     private readonly prefix: string,
   ) {}
 
-  /** Gets the decision that placed a request, while its reservation is live. */
+  /** Gets the decision that placed a request, or undefined if it has no live reservation. */
   getPlaced(request: RequestId): PlaceDecision | undefined {
     const reservation = this.byRequest.get(request);
-    return reservation === undefined ? undefined : this.booked.get(reservation)?.decision;
+    return reservation === undefined ? undefined : this.entries.get(reservation)?.decision;
   }
 
-  /** Gets how many reservations use an engine, for prefill or for decode. */
+  /** Gets the number of reservations that use an engine for prefill or decode. */
   getHolders(engine: UpstreamId): number {
     return this.memory.getHolders(engine) + this.table.getPrefills(engine);
   }
 
-  /** Books a placement; the chooser has made sure that the memory is free. */
+  /**
+   * Reserves engines for a placement; the caller has made sure that the memory is free.
+   *
+   * @param work - The request.
+   * @param placement - The engines chosen for it.
+   * @param priority - Priority passed to the engines.
+   * @param now - Present time.
+   * @param expiresAt - When the reservation expires unless it is renewed.
+   * @returns The decision.
+   */
   place(
     work: QueuedWork,
     placement: Placement,
@@ -69,11 +78,11 @@
     const prefill = placement.prefill.cfg.id;
     const decode = placement.decode.cfg.id;
     if (!this.memory.reserve(reservation, decode, pieces, expiresAt)) {
-      throw new Error(`Engine ${decode} was chosen without ${pieces} free pieces.`);
+      throw new Error(`Engine ${decode} does not have ${pieces} free pieces for its placement.`);
     }
     const { expectedCachedTokens } = placement;
     const prefillTokens = Math.max(0, item.promptTokens - expectedCachedTokens);
-    const lookup = item.class === 'lookup';
+    const isLookup = item.class === 'lookup';
     const decision: PlaceDecision = {
       type: 'place',
       request: item.request,
@@ -86,14 +95,14 @@
       expiresAt,
       expectedCachedTokens,
     };
-    this.table.prefillStarted(prefill, prefillTokens, lookup, now);
-    this.put(reservation, {
+    this.table.prefillStarted(prefill, prefillTokens, isLookup, now);
+    this.insert(reservation, {
       request: item.request,
       holder: item.holder,
       prefill,
       decode,
       prefillTokens,
-      lookup,
+      isLookup,
       decision,
       prefillRunning: true,
       reclaimed: false,
@@ -101,62 +110,62 @@
     return decision;
   }
 
-  /** Books a reservation that its holder has from an earlier steward. */
-  adopt(held: AdoptedReservation, expiresAt: Millis): void {
-    if (this.booked.has(held.reservation)) return;
-    const { request, holder, prefill, decode, prefillRunning } = held;
-    this.memory.adopt(held.reservation, decode, held.pieces, expiresAt);
+  /** Adopts a reservation that its holder has from an earlier steward; a known one is left as it is. */
+  adopt(adopted: AdoptedReservation, expiresAt: Millis): void {
+    if (this.entries.has(adopted.reservation)) return;
+    const { request, holder, prefill, decode, prefillRunning } = adopted;
+    this.memory.adopt(adopted.reservation, decode, adopted.pieces, expiresAt);
     if (prefillRunning) this.table.prefillStarted(prefill, 0, true, 0);
-    this.put(held.reservation, {
+    this.insert(adopted.reservation, {
       request,
       holder,
       prefill,
       decode,
       prefillTokens: 0,
-      lookup: true,
+      isLookup: true,
       decision: undefined,
       prefillRunning,
       reclaimed: false,
     });
   }
 
-  /** Extends a reservation; false where it is not known, or already being reclaimed. */
+  /** Extends a reservation; false if it is unknown or being reclaimed. */
   renew(reservation: ReservationId, expiresAt: Millis): boolean {
-    const entry = this.booked.get(reservation);
+    const entry = this.entries.get(reservation);
     if (entry === undefined || entry.reclaimed) return false;
     return this.memory.extend(reservation, expiresAt);
   }
 
-  /** Frees the prefill engine of a reservation; a repeated call does nothing. */
+  /** Frees the prefill engine of a reservation; idempotent. */
   prefillEnded(reservation: ReservationId): void {
-    const entry = this.booked.get(reservation);
+    const entry = this.entries.get(reservation);
     if (entry === undefined || !entry.prefillRunning) return;
     entry.prefillRunning = false;
-    this.table.prefillEnded(entry.prefill, entry.prefillTokens, entry.lookup);
+    this.table.prefillEnded(entry.prefill, entry.prefillTokens, entry.isLookup);
   }
 
   /** Frees everything that a reservation holds; unknown ones are ignored. */
   release(reservation: ReservationId): void {
-    const entry = this.booked.get(reservation);
+    const entry = this.entries.get(reservation);
     if (entry === undefined) return;
     this.prefillEnded(reservation);
-    this.booked.delete(reservation);
+    this.entries.delete(reservation);
     if (this.byRequest.get(entry.request) === reservation) this.byRequest.delete(entry.request);
     this.memory.free(reservation);
     this.table.refresh(entry.decode);
   }
 
   /**
-   * Takes back a reservation that has run out. What goes wrong: its holder died or was cut off, and
-   * the engine may still run the request. The first call asks for the request to be cancelled and
-   * keeps the memory booked for a moment; the second frees it.
+   * Reclaims an expired reservation. Its holder has failed or is partitioned, while the engines may
+   * still run the request: the first call cancels the request and keeps the memory reserved until the
+   * engines have dropped it, the second frees the memory.
    *
-   * @param reservation - A reservation whose expiry has passed.
-   * @param freeAt - When the memory may be given to another.
-   * @returns What is to be cancelled, on the first call only.
+   * @param reservation - A reservation that has expired.
+   * @param freeAt - When the memory may be reserved again.
+   * @returns The decision that cancels the request, on the first call only.
    */
   reclaim(reservation: ReservationId, freeAt: Millis): ReclaimDecision | undefined {
-    const entry = this.booked.get(reservation);
+    const entry = this.entries.get(reservation);
     if (entry === undefined || entry.reclaimed) {
       this.memory.free(reservation);
       this.release(reservation);
@@ -169,14 +178,14 @@
     return { type: 'reclaim', request, reservation, prefill, decode };
   }
 
-  private put(reservation: ReservationId, entry: Booked): void {
-    this.booked.set(reservation, entry);
+  private insert(reservation: ReservationId, entry: ReservationEntry): void {
+    this.entries.set(reservation, entry);
     this.byRequest.set(entry.request, reservation);
     this.table.refresh(entry.decode);
   }
 
   private nextId(): ReservationId {
-    this.placed += 1;
-    return `${this.prefix}-${this.placed}`;
+    this.lastNumber += 1;
+    return `${this.prefix}-${this.lastNumber}`;
   }
 }
--- a/packages/decisions/tests/FairPoolScheduler.properties.test.ts
+++ b/packages/decisions/tests/FairPoolScheduler.properties.test.ts
@@ -10,33 +10,37 @@
 type Action =
   | {
       readonly type: 'submit';
-      readonly kind: WorkClass;
+      readonly workClass: WorkClass;
       readonly team: number;
       readonly tokens: number;
     }
   | {
-      readonly type: 'again' | 'withdraw' | 'prefillEnded' | 'release' | 'renew';
-      readonly pick: number;
+      readonly type: 'resubmit' | 'withdraw' | 'prefillEnded' | 'release' | 'renew';
+      readonly index: number;
     }
-  | { readonly type: 'adopt'; readonly pick: number }
+  | { readonly type: 'adopt'; readonly index: number }
   | { readonly type: 'wait'; readonly ms: number }
-  | { readonly type: 'engine'; readonly pick: number; readonly seen: 'down' | 'slow' | 'recovered' }
-  | { readonly type: 'load'; readonly pick: number; readonly used: number }
-  | { readonly type: 'interval'; readonly pick: number; readonly ms: number }
-  | { readonly type: 'reshape'; readonly decodes: number };
+  | {
+      readonly type: 'engine';
+      readonly index: number;
+      readonly observed: 'down' | 'slow' | 'recovered';
+    }
+  | { readonly type: 'load'; readonly index: number; readonly used: number }
+  | { readonly type: 'token_interval'; readonly index: number; readonly meanMs: number }
+  | { readonly type: 'reconfigure'; readonly decodeEngines: number };
 
-const RUNS = { numRuns: 300, seed: 20_261_202 };
+const FAST_CHECK_OPTIONS = { numRuns: 300, seed: 20_261_202 };
 
-const MEMORY = 12;
+const MEMORY_PIECES = 12;
 
-const pick = fc.nat(30);
+const index = fc.nat(30);
 
 const anyAction: fc.Arbitrary<Action> = fc.oneof(
   {
     weight: 8,
     arbitrary: fc.record({
       type: fc.constant('submit' as const),
-      kind: fc.constantFrom<WorkClass>('lookup', 'certificate', 'summary'),
+      workClass: fc.constantFrom<WorkClass>('lookup', 'certificate', 'summary'),
       team: fc.nat(3),
       tokens: fc.integer({ min: 1, max: 14_000 }),
     }),
@@ -45,12 +49,12 @@
     weight: 8,
     arbitrary: fc.record({
       type: fc.constantFrom(
-        ...(['again', 'withdraw', 'prefillEnded', 'release', 'release', 'renew'] as const),
+        ...(['resubmit', 'withdraw', 'prefillEnded', 'release', 'release', 'renew'] as const),
       ),
-      pick,
+      index,
     }),
   },
-  { weight: 1, arbitrary: fc.record({ type: fc.constant('adopt' as const), pick }) },
+  { weight: 1, arbitrary: fc.record({ type: fc.constant('adopt' as const), index }) },
   {
     weight: 5,
     arbitrary: fc.record({
@@ -62,35 +66,39 @@
     weight: 2,
     arbitrary: fc.record({
       type: fc.constant('engine' as const),
-      pick,
-      seen: fc.constantFrom('down' as const, 'slow' as const, 'recovered' as const),
+      index,
+      observed: fc.constantFrom('down' as const, 'slow' as const, 'recovered' as const),
     }),
   },
   {
     weight: 1,
-    arbitrary: fc.record({ type: fc.constant('load' as const), pick, used: fc.nat(MEMORY) }),
+    arbitrary: fc.record({
+      type: fc.constant('load' as const),
+      index,
+      used: fc.nat(MEMORY_PIECES),
+    }),
   },
   {
     weight: 1,
     arbitrary: fc.record({
-      type: fc.constant('interval' as const),
-      pick,
-      ms: fc.integer({ min: 1, max: 90 }),
+      type: fc.constant('token_interval' as const),
+      index,
+      meanMs: fc.integer({ min: 1, max: 90 }),
     }),
   },
   {
     weight: 1,
-    arbitrary: fc.record({ type: fc.constant('reshape' as const), decodes: fc.nat(3) }),
+    arbitrary: fc.record({ type: fc.constant('reconfigure' as const), decodeEngines: fc.nat(3) }),
   },
 );
 
-/** Drives a scheduler, and keeps a plain account of its own beside it. */
+/** Drives a scheduler and checks its decisions against a simple model. */
 class Driver {
   now = 0;
 
-  private shape: PoolShape = pool(2, 2, MEMORY);
+  private config: PoolShape = pool(2, 2, MEMORY_PIECES);
 
-  private readonly pools: FairPoolScheduler = scheduler(this.shape);
+  private readonly poolScheduler: FairPoolScheduler = scheduler(this.config);
 
   private readonly submitted: string[] = [];
 
@@ -98,12 +106,12 @@
 
   readonly decided = new Map<string, 'place' | 'refuse'>();
 
-  private readonly held = new Map<
+  private readonly reservations = new Map<
     string,
     { readonly decode: string; readonly pieces: number; readonly adopted: boolean }
   >();
 
-  private readonly places: Place[] = [];
+  private readonly placements: Place[] = [];
 
   act(action: Action): void {
     this.apply(action);
@@ -111,34 +119,36 @@
     this.checkCapacity();
   }
 
-  /** Lets everything run out: no more messages come from any holder. */
+  /** Advances without further messages from holders until nothing is left to do. */
   finish(): void {
-    let wake = this.pools.nextWake(this.now);
+    let wake = this.poolScheduler.nextWake(this.now);
     while (wake !== undefined) {
       this.now = Math.max(this.now, wake);
       this.step();
-      this.places.forEach((place) => this.release(place.reservation));
-      wake = this.pools.nextWake(this.now);
+      this.placements.forEach((placement) => this.release(placement.reservation));
+      wake = this.poolScheduler.nextWake(this.now);
     }
   }
 
   checkEnd(): void {
-    assert.equal(this.pools.reservationCount, 0, 'reservations leaked');
-    assert.equal(this.pools.waitingCount, 0, 'requests still wait');
-    const open = this.submitted.filter((id) => !this.decided.has(id) && !this.withdrawn.has(id));
-    assert.deepEqual(open, [], 'requests without a decision');
+    assert.equal(this.poolScheduler.reservationCount, 0, 'reservations leaked');
+    assert.equal(this.poolScheduler.waitingCount, 0, 'requests are still queued');
+    const undecided = this.submitted.filter(
+      (id) => !this.decided.has(id) && !this.withdrawn.has(id),
+    );
+    assert.deepEqual(undecided, [], 'requests have no decision');
   }
 
   private apply(action: Action): void {
-    const { pools, now } = this;
-    const engineId = (at: number): string => ['p0', 'p1', 'd0', 'd1', 'd2'][at % 5] ?? 'p0';
+    const { poolScheduler, now } = this;
+    const engineId = (n: number): string => ['p0', 'p1', 'd0', 'd1', 'd2'][n % 5] ?? 'p0';
     switch (action.type) {
       case 'submit': {
         const id = `q${this.submitted.length}`;
         this.submitted.push(id);
-        pools.submit(
+        poolScheduler.submit(
           work(id, {
-            class: action.kind,
+            class: action.workClass,
             team: `t${action.team}`,
             promptTokens: action.tokens,
             maxWaitMs: 4_000,
@@ -147,54 +157,54 @@
         );
         break;
       }
-      case 'again': {
-        const id = this.pickSubmitted(action.pick);
+      case 'resubmit': {
+        const id = this.pickSubmitted(action.index);
         if (id !== undefined && !this.decided.has(id) && !this.withdrawn.has(id)) {
-          pools.submit(work(id), now);
+          poolScheduler.submit(work(id), now);
         }
         break;
       }
       case 'withdraw': {
-        const id = this.pickSubmitted(action.pick);
+        const id = this.pickSubmitted(action.index);
         if (id === undefined) break;
         if (!this.decided.has(id)) this.withdrawn.add(id);
-        pools.withdraw(id, now);
+        poolScheduler.withdraw(id, now);
         break;
       }
       case 'prefillEnded':
-        pools.prefillEnded(this.pickReservation(action.pick), now);
+        poolScheduler.prefillEnded(this.pickReservation(action.index), now);
         break;
       case 'release':
-        this.release(this.pickReservation(action.pick));
+        this.release(this.pickReservation(action.index));
         break;
       case 'renew':
-        pools.renew(this.pickReservation(action.pick), now);
+        poolScheduler.renew(this.pickReservation(action.index), now);
         break;
       case 'adopt':
-        this.adopt(`old${action.pick}`);
+        this.adopt(`old${action.index}`);
         break;
       case 'wait':
         this.wait(now + action.ms);
         break;
       case 'engine':
-        if (action.seen === 'recovered') {
-          pools.observe({ type: 'recovered', engine: engineId(action.pick) }, now);
+        if (action.observed === 'recovered') {
+          poolScheduler.observe({ type: 'recovered', engine: engineId(action.index) }, now);
         } else {
-          pools.observe(
-            { type: 'failed', engine: engineId(action.pick), reason: action.seen },
+          poolScheduler.observe(
+            { type: 'failed', engine: engineId(action.index), reason: action.observed },
             now,
           );
         }
         break;
       case 'load':
-        pools.observe(
+        poolScheduler.observe(
           {
             type: 'load',
-            engine: engineId(action.pick),
+            engine: engineId(action.index),
             load: {
               role: 'decode',
               usedPieces: action.used,
-              memoryPieces: MEMORY,
+              memoryPieces: MEMORY_PIECES,
               running: 1,
               waiting: 0,
               attempts: [],
@@ -203,19 +213,24 @@
           now,
         );
         break;
-      case 'interval':
-        pools.observe(
-          { type: 'token_interval', engine: engineId(action.pick), meanMs: action.ms, streams: 3 },
+      case 'token_interval':
+        poolScheduler.observe(
+          {
+            type: 'token_interval',
+            engine: engineId(action.index),
+            meanMs: action.meanMs,
+            streams: 3,
+          },
           now,
         );
         break;
-      case 'reshape': {
-        const decodes = [...Array(action.decodes).keys()].map((n) =>
-          engine(`d${n}`, 'decode', MEMORY),
+      case 'reconfigure': {
+        const decodeEngines = [...Array(action.decodeEngines).keys()].map((n) =>
+          engine(`d${n}`, 'decode', MEMORY_PIECES),
         );
-        const engines = [engine('p0', 'prefill'), engine('p1', 'prefill'), ...decodes];
-        this.shape = { ...this.shape, engines };
-        pools.reshape(this.shape, now);
+        const engines = [engine('p0', 'prefill'), engine('p1', 'prefill'), ...decodeEngines];
+        this.config = { ...this.config, engines };
+        poolScheduler.reshape(this.config, now);
         break;
       }
       default:
@@ -223,21 +238,21 @@
     }
   }
 
-  /** Moves time on without passing over a moment at which the scheduler has something to do. */
+  /** Advances the time, with a step at each time that the scheduler asks for. */
   private wait(until: number): void {
-    let wake = this.pools.nextWake(this.now);
+    let wake = this.poolScheduler.nextWake(this.now);
     while (wake !== undefined && wake <= until) {
       this.now = wake;
       this.step();
-      wake = this.pools.nextWake(this.now);
+      wake = this.poolScheduler.nextWake(this.now);
     }
     this.now = until;
   }
 
   private adopt(reservation: string): void {
-    if (this.held.has(reservation)) return;
-    this.held.set(reservation, { decode: 'd0', pieces: 2, adopted: true });
-    this.pools.adopt(
+    if (this.reservations.has(reservation)) return;
+    this.reservations.set(reservation, { decode: 'd0', pieces: 2, adopted: true });
+    this.poolScheduler.adopt(
       {
         reservation,
         request: reservation,
@@ -253,14 +268,14 @@
   }
 
   private release(reservation: string): void {
-    this.held.delete(reservation);
-    this.pools.release(reservation, 'done', this.now);
+    this.reservations.delete(reservation);
+    this.poolScheduler.release(reservation, 'done', this.now);
   }
 
   private step(): void {
-    this.pools.step(this.now).forEach((decision) => {
+    this.poolScheduler.step(this.now).forEach((decision) => {
       if (decision.type === 'reclaim') {
-        this.held.delete(decision.reservation);
+        this.reservations.delete(decision.reservation);
         return;
       }
       const before = this.decided.get(decision.request);
@@ -272,35 +287,35 @@
         return;
       }
       assert.ok(
-        this.shape.engines.some((one) => one.id === decision.decode && one.role === 'decode'),
+        this.config.engines.some((one) => one.id === decision.decode && one.role === 'decode'),
       );
-      this.held.set(decision.reservation, { ...decision, adopted: false });
-      this.places.push(decision);
+      this.reservations.set(decision.reservation, { ...decision, adopted: false });
+      this.placements.push(decision);
     });
   }
 
-  /** Counts what this driver was given, not what the ledger says of itself. */
+  /** Checks the memory by the decisions that the driver got, not by the scheduler's ledger. */
   private checkCapacity(): void {
     ['d0', 'd1', 'd2'].forEach((id) => {
-      const here = [...this.held.values()].filter((hold) => hold.decode === id);
-      const placed = here.filter((hold) => !hold.adopted);
-      const sum = placed.reduce((total, hold) => total + hold.pieces, 0);
-      assert.ok(sum <= MEMORY, `${id} holds ${sum} of ${MEMORY} pieces`);
+      const onEngine = [...this.reservations.values()].filter((entry) => entry.decode === id);
+      const placed = onEngine.filter((entry) => !entry.adopted);
+      const sum = placed.reduce((total, entry) => total + entry.pieces, 0);
+      assert.ok(sum <= MEMORY_PIECES, `${id} has ${sum} of ${MEMORY_PIECES} pieces`);
     });
   }
 
-  private pickSubmitted(at: number): string | undefined {
-    return this.submitted[at % Math.max(1, this.submitted.length)];
+  private pickSubmitted(n: number): string | undefined {
+    return this.submitted[n % Math.max(1, this.submitted.length)];
   }
 
-  private pickReservation(at: number): string {
-    return this.places[at % Math.max(1, this.places.length)]?.reservation ?? 'unknown';
+  private pickReservation(n: number): string {
+    return this.placements[n % Math.max(1, this.placements.length)]?.reservation ?? 'unknown';
   }
 }
 
-test('keeps its promises after any order of events', () => {
-  // Hosts die, messages repeat, engines fail and come back, the pool changes. Callers would notice
-  // a broken promise as two answers, none, or engines that are full for good.
+test('keeps its invariants under any sequence of events', () => {
+  // Guards against requests with two decisions or none and against leaked memory, while hosts fail,
+  // messages are repeated, engines fail and recover, and the pool is reconfigured.
   fc.assert(
     fc.property(fc.array(anyAction, { maxLength: 120 }), (actions) => {
       const driver = new Driver();
@@ -308,49 +323,54 @@
       driver.finish();
       driver.checkEnd();
     }),
-    RUNS,
+    FAST_CHECK_OPTIONS,
   );
 });
 
 test('serves teams in proportion to their weights, whatever one of them sends', () => {
-  // One large team floods the queue. The small team's callers should get their share of the engines
-  // from the first moment, and not wait until the flood has passed.
-  const weights = fc.record({
-    small: fc.integer({ min: 1, max: 4 }),
-    flood: fc.integer({ min: 50, max: 300 }),
+  // One team floods the queue: another team's requests must get their share of the engines at once,
+  // without waiting behind the flood.
+  const scenarios = fc.record({
+    smallWeight: fc.integer({ min: 1, max: 4 }),
+    floodSize: fc.integer({ min: 50, max: 300 }),
   });
   fc.assert(
-    fc.property(weights, ({ small, flood }) => {
-      const pools = scheduler(pool(1, 1, 1));
-      [...Array(flood).keys()].forEach((n) => pools.submit(work(`f${n}`, { team: 'flood' }), 0));
+    fc.property(scenarios, ({ smallWeight, floodSize }) => {
+      const poolScheduler = scheduler(pool(1, 1, 1));
+      [...Array(floodSize).keys()].forEach((n) =>
+        poolScheduler.submit(work(`f${n}`, { team: 'flood' }), 0),
+      );
       [...Array(40).keys()].forEach((n) =>
-        pools.submit(work(`s${n}`, { team: 'small', weight: small }), 0),
+        poolScheduler.submit(work(`s${n}`, { team: 'small', weight: smallWeight }), 0),
       );
       const served = [...Array(40).keys()].map((turn) => {
-        const [placed] = pools.step(turn);
+        const [placed] = poolScheduler.step(turn);
         assert.ok(placed?.type === 'place');
-        pools.release(placed.reservation, 'done', turn);
+        poolScheduler.release(placed.reservation, 'done', turn);
         return placed.request;
       });
-      const ofSmall = served.filter((id) => id.startsWith('s')).length;
-      const fair = (40 * small) / (small + 1);
-      assert.ok(Math.abs(ofSmall - fair) <= 1, `${ofSmall} served, ${fair} would be fair`);
+      const servedOfSmall = served.filter((id) => id.startsWith('s')).length;
+      const fairShare = (40 * smallWeight) / (smallWeight + 1);
+      assert.ok(
+        Math.abs(servedOfSmall - fairShare) <= 1,
+        `${servedOfSmall} served, fair share ${fairShare}`,
+      );
     }),
-    RUNS,
+    FAST_CHECK_OPTIONS,
   );
 });
 
-test('lets a lookup pass the summaries that wait, and summaries pass a flood of lookups in turn', () => {
-  const pools = scheduler(pool(1, 1, 1));
+test('serves lookups before queued summaries, but does not starve summaries', () => {
+  const poolScheduler = scheduler(pool(1, 1, 1));
   const serve = (turn: number): string => {
-    const [placed] = pools.step(turn);
+    const [placed] = poolScheduler.step(turn);
     assert.ok(placed?.type === 'place');
-    pools.release(placed.reservation, 'done', turn);
+    poolScheduler.release(placed.reservation, 'done', turn);
     return placed.request;
   };
-  [...Array(20).keys()].forEach((n) => pools.submit(work(`s${n}`), 0));
+  [...Array(20).keys()].forEach((n) => poolScheduler.submit(work(`s${n}`), 0));
   assert.equal(serve(0), 's0');
-  [...Array(40).keys()].forEach((n) => pools.submit(work(`l${n}`, { class: 'lookup' }), 1));
+  [...Array(40).keys()].forEach((n) => poolScheduler.submit(work(`l${n}`, { class: 'lookup' }), 1));
   const served = [...Array(40).keys()].map(() => serve(1));
   assert.equal(served[0], 'l0');
   const summaries = served.filter((id) => id.startsWith('s')).length;
--- a/packages/decisions/tests/FairPoolScheduler.test.ts
+++ b/packages/decisions/tests/FairPoolScheduler.test.ts
@@ -3,74 +3,74 @@
 import type { SchedulerDecision } from '@camphorvane/decisions';
 import { pool, scheduler, work } from './support/pool.ts';
 
-const requests = (decisions: readonly SchedulerDecision[], type: string): readonly string[] =>
+const requestsOf = (decisions: readonly SchedulerDecision[], type: string): readonly string[] =>
   decisions.filter((decision) => decision.type === type).map((decision) => decision.request);
 
-test('places on both pools and frees the memory once, however often it is released', () => {
-  const pools = scheduler(pool(1, 1, 2));
-  ['a', 'b', 'c'].forEach((id) => pools.submit(work(id, { class: 'lookup' }), 0));
-  const first = pools.step(0);
-  assert.deepEqual(requests(first, 'place'), ['a', 'b']);
-  pools.prefillEnded('r-1', 10);
-  pools.release('r-1', 'done', 20);
-  pools.release('r-1', 'done', 20);
-  assert.deepEqual(requests(pools.step(20), 'place'), ['c']);
-  assert.equal(pools.reservationCount, 2);
+test('places on both roles and frees the memory once if a release is repeated', () => {
+  const poolScheduler = scheduler(pool(1, 1, 2));
+  ['a', 'b', 'c'].forEach((id) => poolScheduler.submit(work(id, { class: 'lookup' }), 0));
+  const first = poolScheduler.step(0);
+  assert.deepEqual(requestsOf(first, 'place'), ['a', 'b']);
+  poolScheduler.prefillEnded('r-1', 10);
+  poolScheduler.release('r-1', 'done', 20);
+  poolScheduler.release('r-1', 'done', 20);
+  assert.deepEqual(requestsOf(poolScheduler.step(20), 'place'), ['c']);
+  assert.equal(poolScheduler.reservationCount, 2);
 });
 
-test('reclaims the memory of a holder that died', () => {
-  // The host that serves the caller dies; nobody renews what it reserved. Without the expiry the
-  // callers after it would wait for memory that never comes back.
-  const pools = scheduler(pool(1, 1, 1));
-  pools.submit(work('a'), 0);
-  pools.submit(work('b'), 0);
-  assert.deepEqual(requests(pools.step(0), 'place'), ['a']);
-  assert.equal(pools.nextWake(0), 3_000);
-  assert.deepEqual(requests(pools.step(3_000), 'reclaim'), ['a']);
-  assert.equal(pools.renew('r-1', 3_100), false);
-  assert.deepEqual(requests(pools.step(3_250), 'place'), ['b']);
+test('reclaims the memory of a holder that failed', () => {
+  // Guards against leaked memory: no host renews the reservations of a failed one, and without an expiry
+  // later requests would wait for their memory forever.
+  const poolScheduler = scheduler(pool(1, 1, 1));
+  poolScheduler.submit(work('a'), 0);
+  poolScheduler.submit(work('b'), 0);
+  assert.deepEqual(requestsOf(poolScheduler.step(0), 'place'), ['a']);
+  assert.equal(poolScheduler.nextWake(0), 3_000);
+  assert.deepEqual(requestsOf(poolScheduler.step(3_000), 'reclaim'), ['a']);
+  assert.equal(poolScheduler.renew('r-1', 3_100), false);
+  assert.deepEqual(requestsOf(poolScheduler.step(3_250), 'place'), ['b']);
 });
 
-test('gives a repeated submission the same place', () => {
-  // The answer to a host's first message is lost and it sends the request again. A second place
-  // would hold memory that nobody releases.
-  const pools = scheduler(pool(1, 1));
-  pools.submit(work('a'), 0);
-  const first = pools.step(0);
-  pools.submit(work('a'), 5);
-  assert.deepEqual(pools.step(5), first);
-  assert.equal(pools.reservationCount, 1);
+test('gives a repeated submission the same placement', () => {
+  // The answer to a submission is lost and the host submits the request again: a second placement would
+  // reserve memory that no host releases.
+  const poolScheduler = scheduler(pool(1, 1));
+  poolScheduler.submit(work('a'), 0);
+  const first = poolScheduler.step(0);
+  poolScheduler.submit(work('a'), 5);
+  assert.deepEqual(poolScheduler.step(5), first);
+  assert.equal(poolScheduler.reservationCount, 1);
 });
 
-test('refuses a lookup when its target has become unreachable, and says that it did not run', () => {
-  // All memory is held by long work. A caller with a truck in the yard should hear at the target's
-  // end that nothing ran, and when to come back; it must not wait for the summary.
-  const pools = scheduler(pool(1, 1, 1));
-  pools.submit(work('long'), 0);
-  pools.step(0);
-  pools.submit(work('lookup', { class: 'lookup', maxWaitMs: 5_000 }), 0);
-  pools.submit(work('patient'), 0);
-  const [refused] = pools.step(730);
+test('refuses a lookup that can no longer meet its target, with execution not_run', () => {
+  // A long request holds all memory. By the end of the target the caller must get a refusal that says
+  // when to retry; it must not wait for the long request.
+  const poolScheduler = scheduler(pool(1, 1, 1));
+  poolScheduler.submit(work('long'), 0);
+  poolScheduler.step(0);
+  poolScheduler.submit(work('lookup', { class: 'lookup', maxWaitMs: 5_000 }), 0);
+  poolScheduler.submit(work('patient'), 0);
+  const [refused] = poolScheduler.step(730);
   assert.ok(refused?.type === 'refuse');
   assert.equal(refused.request, 'lookup');
   assert.equal(refused.refusal.execution, 'not_run');
   assert.ok((refused.refusal.retryAfterMs ?? 0) > 0);
-  assert.equal(pools.waitingCount, 1);
+  assert.equal(poolScheduler.waitingCount, 1);
 });
 
-test('refuses at once what has failed on every engine, and lets its team go on', () => {
-  // A request has failed on the only decode engine and is sent again with that engine to be avoided.
-  // Left waiting, it would hold up everything its team sends after it.
-  const pools = scheduler(pool(2, 1));
-  pools.submit(work('again', { avoid: ['d0'] }), 0);
-  pools.submit(work('next'), 0);
-  const decisions = pools.step(0);
-  assert.deepEqual(requests(decisions, 'refuse'), ['again']);
-  assert.deepEqual(requests(decisions, 'place'), ['next']);
+test('refuses at once a request that failed on every engine, so that it does not block its team', () => {
+  // A request has failed on the only decode engine and is retried with that engine excluded. In the
+  // queue it would block the later requests of its team.
+  const poolScheduler = scheduler(pool(2, 1));
+  poolScheduler.submit(work('again', { avoid: ['d0'] }), 0);
+  poolScheduler.submit(work('next'), 0);
+  const decisions = poolScheduler.step(0);
+  assert.deepEqual(requestsOf(decisions, 'refuse'), ['again']);
+  assert.deepEqual(requestsOf(decisions, 'place'), ['next']);
 });
 
-test('refuses at once what no engine could ever hold', () => {
-  const pools = scheduler(pool(1, 1, 2));
-  pools.submit(work('huge', { promptTokens: 9_000 }), 0);
-  assert.deepEqual(requests(pools.step(0), 'refuse'), ['huge']);
+test('refuses at once a request that exceeds the memory of every engine', () => {
+  const poolScheduler = scheduler(pool(1, 1, 2));
+  poolScheduler.submit(work('huge', { promptTokens: 9_000 }), 0);
+  assert.deepEqual(requestsOf(poolScheduler.step(0), 'refuse'), ['huge']);
 });
