--- a/packages/bench/src/cost/measureCost.ts
+++ b/packages/bench/src/cost/measureCost.ts
@@ -1,7 +1,7 @@
 import { type Clock, type EngineConfig, RandomSource } from '@camphorvane/core';
 import {
   FairPoolScheduler,
-  type PoolShape,
+  type PoolSchedulerConfig,
   type SchedulerDecision,
   type WorkItem,
 } from '@camphorvane/decisions';
@@ -71,7 +71,7 @@
   return {
     engines,
     teams,
-    queued: pools.waitingCount,
+    queued: pools.queuedCount,
     decisionsPerSecond: (TIMED * MS_PER_SECOND) / tookMs,
     bytesPerQueued: (after - before) / QUEUED,
   };
@@ -114,7 +114,7 @@
   return decisions.length;
 }
 
-function makePool(count: number): PoolShape {
+function makePool(count: number): PoolSchedulerConfig {
   const engines: readonly EngineConfig[] = [...Array(count).keys()].map((n) => ({
     id: `engine-${n}`,
     url: 'http://127.0.0.1:1',
--- a/packages/bench/src/policies/Camphorvane.ts
+++ b/packages/bench/src/policies/Camphorvane.ts
@@ -6,7 +6,11 @@
   type ReservationId,
   type UpstreamId,
 } from '@camphorvane/core';
-import { FairPoolScheduler, type PoolShape, type SchedulerDecision } from '@camphorvane/decisions';
+import {
+  FairPoolScheduler,
+  type PoolSchedulerConfig,
+  type SchedulerDecision,
+} from '@camphorvane/decisions';
 import type { Attempt, LossReason } from '../physics/Attempt.ts';
 import type { World } from '../physics/World.ts';
 import type { SimRequest } from '../workload/SimRequest.ts';
@@ -236,7 +240,7 @@
   }
 }
 
-function shapeOf(world: World): PoolShape {
+function shapeOf(world: World): PoolSchedulerConfig {
   const common = { url: 'http://127.0.0.1:1', zone: 'a', checksFencing: true };
   const prefills: readonly EngineConfig[] = world.prefills.map((engine) => ({
     ...common,
--- a/packages/decisions/src/FairPoolScheduler.ts
+++ b/packages/decisions/src/FairPoolScheduler.ts
@@ -7,19 +7,19 @@
   type WorkClass,
   piecesFor,
 } from '@camphorvane/core';
-import { Admission } from './admit/Admission.ts';
+import { AdmissionControl } from './admit/AdmissionControl.ts';
 import { DrainRate } from './admit/DrainRate.ts';
 import { DEFAULT_QUEUE_LIMITS, type QueueLimits } from './admit/QueueLimits.ts';
 import { LinkLedger } from './ledger/LinkLedger.ts';
 import { MemoryLedger } from './ledger/MemoryLedger.ts';
-import { CacheExpectation } from './place/CacheExpectation.ts';
+import { PrefixCacheIndex } from './place/PrefixCacheIndex.ts';
 import { EngineChooser, type Placement } from './place/EngineChooser.ts';
 import { EngineTable } from './place/EngineTable.ts';
 import type {
   AdoptedReservation,
   EngineObservation,
   PoolScheduler,
-  PoolShape,
+  PoolSchedulerConfig,
   ReservationEnd,
   SchedulerDecision,
   WorkItem,
@@ -27,7 +27,7 @@
 import { ClassShares } from './queue/ClassShares.ts';
 import { FairQueue } from './queue/FairQueue.ts';
 import type { QueuedWork } from './queue/QueuedWork.ts';
-import { ReservationBook } from './ReservationBook.ts';
+import { ReservationTable } from './ReservationTable.ts';
 import { IndexedHeap } from './structures/IndexedHeap.ts';
 
 /** Options of a {@link FairPoolScheduler}. */
@@ -78,7 +78,7 @@
 
   private readonly links: LinkLedger;
 
-  private readonly cache = new CacheExpectation();
+  private readonly cache = new PrefixCacheIndex();
 
   private readonly table: EngineTable;
 
@@ -95,9 +95,9 @@
   /** Queued requests by the time at which they are refused. */
   private readonly timeouts = new IndexedHeap<RequestId>();
 
-  private readonly reservations: ReservationBook;
+  private readonly reservations: ReservationTable;
 
-  private readonly admission: Admission;
+  private readonly admission: AdmissionControl;
 
   private readonly ttlMs: Millis;
 
@@ -113,28 +113,28 @@
    * @param shape - The pool's configuration.
    * @param opts - Random source and limits.
    */
-  constructor(shape: PoolShape, opts: FairPoolSchedulerOptions) {
+  constructor(shape: PoolSchedulerConfig, opts: FairPoolSchedulerOptions) {
     this.links = new LinkLedger(shape.linkPiecesPerSecond);
     this.table = new EngineTable(shape, this.memory, this.links, this.cache);
     this.chooser = new EngineChooser(this.table, this.links);
     const limits = opts.queueLimits ?? DEFAULT_QUEUE_LIMITS;
-    this.admission = new Admission(this.queue, this.table, this.drainRate, limits);
+    this.admission = new AdmissionControl(this.queue, this.table, this.drainRate, limits);
     this.ttlMs = opts.reservationTtlMs ?? DEFAULT_RESERVATION_TTL_MS;
     this.ttftTargetMs = shape.ttftTargetMs;
     const prefix = opts.reservationPrefix ?? opts.random.int(0, MAX_RANDOM_PREFIX).toString(36);
-    this.reservations = new ReservationBook(this.memory, this.table, prefix);
+    this.reservations = new ReservationTable(this.memory, this.table, prefix);
   }
 
   submit(item: WorkItem, now: Millis): void {
     if (this.queuedWork.has(item.request)) return;
-    const placed = this.reservations.getPlaced(item.request);
+    const placed = this.reservations.getPlacement(item.request);
     if (placed !== undefined) {
       // The decision on the first submission was lost; a second placement would reserve memory twice.
       this.pendingDecisions.push(placed);
       return;
     }
     const work = this.toQueuedWork(item, now);
-    const refusal = this.admission.refuseAtOnce(work, now);
+    const refusal = this.admission.refuseOnSubmit(work, now);
     if (refusal !== undefined) {
       this.pendingDecisions.push(refusal);
       return;
@@ -169,14 +169,14 @@
     this.table.observe(observation, now);
   }
 
-  reshape(shape: PoolShape, _now: Millis): void {
+  reconfigure(shape: PoolSchedulerConfig, _now: Millis): void {
     this.ttftTargetMs = shape.ttftTargetMs;
-    this.table.reshape(shape);
+    this.table.reconfigure(shape);
   }
 
   step(now: Millis): readonly SchedulerDecision[] {
     this.linkRetryAt = Infinity;
-    this.table.endPauses(now);
+    this.table.endExpiredPauses(now);
     this.reclaimExpired(now);
     this.refuseTimedOut(now);
     this.drainRate.advance(now, this.queue.size > 0);
@@ -193,7 +193,7 @@
       this.memory.nextExpiry ?? Infinity,
       this.timeouts.peekKey() ?? Infinity,
       this.linkRetryAt,
-      this.table.nextTrial ?? Infinity,
+      this.table.nextPauseEnd ?? Infinity,
     );
     return next === Infinity ? undefined : Math.max(now, next);
   }
@@ -204,12 +204,12 @@
   }
 
   /** Gets the number of reservations that use an engine; a draining engine has none left once it is drained. */
-  getHolders(engine: UpstreamId): number {
-    return this.reservations.getHolders(engine);
+  countReservations(engine: UpstreamId): number {
+    return this.reservations.countReservations(engine);
   }
 
   /** Gets the number of queued requests. */
-  get waitingCount(): number {
+  get queuedCount(): number {
     return this.queuedWork.size;
   }
 
@@ -222,7 +222,7 @@
     const cost = item.promptTokens + item.maxOutputTokens;
     const isLookup = item.class === 'lookup';
     const waitMs = isLookup ? Math.min(item.maxWaitMs, this.ttftTargetMs) : item.maxWaitMs;
-    const minTtftMs = isLookup ? this.chooser.getLeastMs(item, now) * MIN_TTFT_FRACTION : 0;
+    const minTtftMs = isLookup ? this.chooser.getMinTtftMs(item, now) * MIN_TTFT_FRACTION : 0;
     return {
       item,
       submittedAt: now,
@@ -242,11 +242,11 @@
   }
 
   private reclaimExpired(now: Millis): void {
-    let reservation = this.memory.expired(now);
+    let reservation = this.memory.getExpired(now);
     while (reservation !== undefined) {
       const reclaim = this.reservations.reclaim(reservation, now + RECLAIM_GRACE_MS);
       if (reclaim !== undefined) this.pendingDecisions.push(reclaim);
-      reservation = this.memory.expired(now);
+      reservation = this.memory.getExpired(now);
     }
   }
 
@@ -263,7 +263,7 @@
   /** Refuses a queued request now: a later refusal would only keep its caller from going elsewhere. */
   private refuse(work: QueuedWork): void {
     this.dequeue(work);
-    this.pendingDecisions.push(this.admission.refuseLate(work.item));
+    this.pendingDecisions.push(this.admission.refuseTimedOut(work.item));
   }
 
   /** Places one request; false if none can be placed now. */
@@ -301,8 +301,8 @@
     this.dequeue(work);
     this.queue.charge(work);
     this.classShares.charge(item.class, work.cost, (name) => this.queue.getSize(name) > 0);
-    this.drainRate.placed(work.cost);
-    this.links.take(
+    this.drainRate.recordPlaced(work.cost);
+    this.links.book(
       placement.decode.cfg.id,
       piecesFor(item.promptTokens),
       placement.prefillReadyAt,
@@ -310,7 +310,7 @@
     );
     const priority = CLASS_PRIORITY[item.class];
     this.pendingDecisions.push(
-      this.reservations.place(work, placement, priority, now, now + this.ttlMs),
+      this.reservations.reserve(work, placement, priority, now, now + this.ttlMs),
     );
   }
 }
--- a/packages/decisions/src/PoolScheduler.ts
+++ b/packages/decisions/src/PoolScheduler.ts
@@ -104,7 +104,7 @@
     };
 
 /** The part of a pool's configuration that its scheduler uses. */
-export interface PoolShape {
+export interface PoolSchedulerConfig {
   readonly engines: readonly EngineConfig[];
   /** Target for the time to the first token, in milliseconds. */
   readonly ttftTargetMs: Millis;
@@ -145,7 +145,7 @@
   observe(observation: EngineObservation, now: Millis): void;
 
   /** Applies a changed configuration; work on removed engines keeps its reservation. */
-  reshape(shape: PoolShape, now: Millis): void;
+  reconfigure(shape: PoolSchedulerConfig, now: Millis): void;
 
   /** Advances to the present time and gets all new decisions. */
   step(now: Millis): readonly SchedulerDecision[];
--- a/packages/decisions/src/ReservationBook.ts
+++ b/packages/decisions/src/ReservationTable.ts
@@ -32,7 +32,7 @@
 }
 
 /** The live reservations with what each holds, which is freed exactly once. */
-export class ReservationBook {
+export class ReservationTable {
   private readonly entries = new Map<ReservationId, ReservationEntry>();
 
   private readonly byRequest = new Map<RequestId, ReservationId>();
@@ -46,14 +46,14 @@
   ) {}
 
   /** Gets the decision that placed a request, or undefined if it has no live reservation. */
-  getPlaced(request: RequestId): PlaceDecision | undefined {
+  getPlacement(request: RequestId): PlaceDecision | undefined {
     const reservation = this.byRequest.get(request);
     return reservation === undefined ? undefined : this.entries.get(reservation)?.decision;
   }
 
   /** Gets the number of reservations that use an engine for prefill or decode. */
-  getHolders(engine: UpstreamId): number {
-    return this.memory.getHolders(engine) + this.table.getPrefills(engine);
+  countReservations(engine: UpstreamId): number {
+    return this.memory.countReservations(engine) + this.table.getInFlightPrefills(engine);
   }
 
   /**
@@ -66,7 +66,7 @@
    * @param expiresAt - When the reservation expires unless it is renewed.
    * @returns The decision.
    */
-  place(
+  reserve(
     work: QueuedWork,
     placement: Placement,
     priority: number,
--- a/packages/decisions/src/admit/Admission.ts
+++ b/packages/decisions/src/admit/AdmissionControl.ts
@@ -25,7 +25,7 @@
  * refusal says when a retry makes sense. Only work that was never dispatched to an engine is refused
  * here, so every refusal has execution `not_run`.
  */
-export class Admission {
+export class AdmissionControl {
   constructor(
     private readonly queue: FairQueue,
     private readonly table: EngineTable,
@@ -42,12 +42,15 @@
    * @param now - Present time.
    * @returns The refusal, or undefined if the request may be queued.
    */
-  refuseAtOnce(work: QueuedWork, now: Millis): RefuseDecision | undefined {
+  refuseOnSubmit(work: QueuedWork, now: Millis): RefuseDecision | undefined {
     const { item } = work;
-    if (work.pieces > this.table.largestMemory) {
+    if (work.pieces > this.table.maxDecodeMemoryPieces) {
       return refuse(item, 'no_capacity', 'No decode engine has enough memory for this request.');
     }
-    if (this.table.decode.areAllIn(item.avoid) || this.table.prefill.areAllIn(item.avoid)) {
+    if (
+      this.table.decode.areAllExcluded(item.avoid) ||
+      this.table.prefill.areAllExcluded(item.avoid)
+    ) {
       // It can never be placed; in the queue it would block its team's requests until it timed out.
       return refuse(item, 'no_capacity', 'The request has failed on every engine of the pool.');
     }
@@ -60,14 +63,14 @@
   }
 
   /** Refuses a queued request that has reached its deadline in the queue. */
-  refuseLate(item: WorkItem): RefuseDecision {
+  refuseTimedOut(item: WorkItem): RefuseDecision {
     const text = 'No engine became free within the longest queue time of the request.';
     return refuse(item, 'target_missed', text, this.getRetryAfterMs());
   }
 
   private refuseLookup(work: QueuedWork, now: Millis): RefuseDecision | undefined {
     const { item } = work;
-    if (this.table.decode.size === 0 || this.table.prefill.size === 0) {
+    if (this.table.decode.availableCount === 0 || this.table.prefill.availableCount === 0) {
       return refuse(
         item,
         'no_capacity',
@@ -80,7 +83,7 @@
       return refuse(item, 'target_missed', 'The prompt is too long for a lookup on this pool.');
     }
     const costAhead = this.queue.getCostAhead(item.team, item.weight, item.class);
-    const waitMs = this.drainRate.getWaitMs(costAhead) ?? 0;
+    const waitMs = this.drainRate.estimateWaitMs(costAhead) ?? 0;
     const slackMs = work.giveUpAt - now;
     if (waitMs <= slackMs * LATE_WAIT_FACTOR) return undefined;
     const text = 'The estimated queue time exceeds the target for the first token.';
@@ -90,7 +93,7 @@
   /** Gets the retry-after: the time in which the queued lookups and certificates are placed. */
   private getRetryAfterMs(): Millis {
     const costAhead = this.queue.getCost('lookup') + this.queue.getCost('certificate');
-    return clampRetryAfter(this.drainRate.getWaitMs(costAhead) ?? RETRY_AFTER_MS.unknown);
+    return clampRetryAfter(this.drainRate.estimateWaitMs(costAhead) ?? RETRY_AFTER_MS.unknown);
   }
 }
 
--- a/packages/decisions/src/admit/DrainRate.ts
+++ b/packages/decisions/src/admit/DrainRate.ts
@@ -38,7 +38,7 @@
   }
 
   /** Records tokens that were placed; those placed while no work was queued do not count. */
-  placed(tokens: Tokens): void {
+  recordPlaced(tokens: Tokens): void {
     if (this.hasQueuedWork) this.tokens += tokens;
   }
 
@@ -48,7 +48,7 @@
    * @param ahead - Queued tokens that are placed first.
    * @returns Milliseconds, or undefined while too little has been measured.
    */
-  getWaitMs(ahead: Tokens): Millis | undefined {
+  estimateWaitMs(ahead: Tokens): Millis | undefined {
     if (this.measuredMs < MIN_MEASURED_MS || this.tokens <= 0) return undefined;
     return (ahead * this.measuredMs) / this.tokens;
   }
--- a/packages/decisions/src/ledger/LinkLedger.ts
+++ b/packages/decisions/src/ledger/LinkLedger.ts
@@ -27,7 +27,7 @@
   }
 
   /** Sets the bandwidth of each link, in pieces per second. */
-  setRate(piecesPerSecond: number): void {
+  setBandwidth(piecesPerSecond: number): void {
     this.piecesPerSecond = piecesPerSecond;
   }
 
@@ -54,7 +54,7 @@
    * @param readyAt - Expected end of the prefill.
    * @param now - Present time; earlier bookings are dropped.
    */
-  take(engine: UpstreamId, pieces: Pieces, readyAt: Millis, now: Millis): void {
+  book(engine: UpstreamId, pieces: Pieces, readyAt: Millis, now: Millis): void {
     const start = readyAt + this.getWaitMs(engine, pieces, readyAt);
     const booking = { start, end: start + this.getTransferMs(pieces) };
     const kept = (this.bookings.get(engine) ?? []).filter((other) => other.end > now);
@@ -64,7 +64,7 @@
   }
 
   /** Removes an engine and its bookings. */
-  close(engine: UpstreamId): void {
+  remove(engine: UpstreamId): void {
     this.bookings.delete(engine);
   }
 }
--- a/packages/decisions/src/ledger/MemoryLedger.ts
+++ b/packages/decisions/src/ledger/MemoryLedger.ts
@@ -79,7 +79,7 @@
   }
 
   /** Gets the number of reservations on an engine. */
-  getHolders(engine: UpstreamId): number {
+  countReservations(engine: UpstreamId): number {
     return this.accounts.get(engine)?.reservationCount ?? 0;
   }
 
@@ -136,7 +136,7 @@
   }
 
   /** Gets an expired reservation, if there is any; it holds its memory until it is freed. */
-  expired(now: Millis): ReservationId | undefined {
+  getExpired(now: Millis): ReservationId | undefined {
     const expiresAt = this.expiries.peekKey();
     return expiresAt !== undefined && expiresAt <= now ? this.expiries.peek() : undefined;
   }
@@ -151,7 +151,7 @@
    * @param engine - The engine.
    * @param usedPieces - Pieces in use according to the report.
    */
-  report(engine: UpstreamId, usedPieces: Pieces): void {
+  applyLoadReport(engine: UpstreamId, usedPieces: Pieces): void {
     const account = this.accounts.get(engine);
     if (account === undefined) return;
     account.unaccounted = Math.max(0, usedPieces - Math.max(account.peak, account.previousPeak));
--- a/packages/decisions/src/local/EngineHealth.ts
+++ b/packages/decisions/src/local/EngineHealth.ts
@@ -68,14 +68,14 @@
   }
 
   /** Drops what was recorded of engines that are not in the given set. */
-  keepOnly(engines: ReadonlySet<UpstreamId>): void {
+  retain(engines: ReadonlySet<UpstreamId>): void {
     [...this.healthByEngine.keys()]
       .filter((id) => !engines.has(id))
       .forEach((id) => this.healthByEngine.delete(id));
   }
 
   /** Records a failure; each further one in a row doubles the back-off. */
-  failed(engine: UpstreamId, now: Millis): void {
+  recordFailure(engine: UpstreamId, now: Millis): void {
     const health = this.healthByEngine.get(engine) ?? HEALTHY;
     const backoffMs = Math.min(
       MAX_BACKOFF_MS,
@@ -89,7 +89,7 @@
   }
 
   /** Records a success, which ends the back-off. */
-  succeeded(engine: UpstreamId): void {
+  recordSuccess(engine: UpstreamId): void {
     const health = this.healthByEngine.get(engine);
     if (health === undefined || health.consecutiveFailures === 0) return;
     this.healthByEngine.set(engine, { ...health, consecutiveFailures: 0, backoffUntil: 0 });
@@ -102,7 +102,7 @@
    * @param tokens - Tokens of the prompt.
    * @param tookMs - Milliseconds from sending the request to the answer.
    */
-  prefillTook(engine: UpstreamId, tokens: Tokens, tookMs: Millis): void {
+  recordPrefill(engine: UpstreamId, tokens: Tokens, tookMs: Millis): void {
     const health = this.healthByEngine.get(engine) ?? HEALTHY;
     const speed = tokens / Math.max(1, tookMs);
     const prefillSpeeds = [...health.prefillSpeeds, speed].slice(-PREFILL_SPEED_SAMPLES);
@@ -115,7 +115,7 @@
    * @param engine - The engine.
    * @param tokenMs - Milliseconds between two tokens of a stream.
    */
-  tokensTook(engine: UpstreamId, tokenMs: Millis): void {
+  recordTokenInterval(engine: UpstreamId, tokenMs: Millis): void {
     const health = this.healthByEngine.get(engine) ?? HEALTHY;
     const mean = health.tokenIntervalMs ?? tokenMs;
     this.healthByEngine.set(engine, {
@@ -125,7 +125,7 @@
   }
 
   /** Gets whether the engine is in back-off after a failure. */
-  isResting(engine: UpstreamId, now: Millis): boolean {
+  isBackingOff(engine: UpstreamId, now: Millis): boolean {
     return (this.healthByEngine.get(engine)?.backoffUntil ?? 0) > now;
   }
 
@@ -137,8 +137,8 @@
    * @param pool - Engines of the same pool; their mean speed is used until that of the engine is known.
    * @returns Milliseconds.
    */
-  readMs(engine: UpstreamId, tokens: Tokens, pool: readonly UpstreamId[]): Millis {
-    const tokensPerMs = this.prefillTokensPerMs(engine) ?? this.meanReadPerMs(pool);
+  estimatePrefillMs(engine: UpstreamId, tokens: Tokens, pool: readonly UpstreamId[]): Millis {
+    const tokensPerMs = this.prefillTokensPerMs(engine) ?? this.meanPrefillTokensPerMs(pool);
     return tokens / (tokensPerMs ?? DEFAULT_PREFILL_TOKENS_PER_MS);
   }
 
@@ -150,7 +150,7 @@
    * @returns Milliseconds; undefined while no engine of the pool was measured.
    */
   tokenMs(engine: UpstreamId, pool: readonly UpstreamId[]): Millis | undefined {
-    return this.healthByEngine.get(engine)?.tokenIntervalMs ?? this.meanTokenMs(pool);
+    return this.healthByEngine.get(engine)?.tokenIntervalMs ?? this.meanTokenIntervalMs(pool);
   }
 
   /** Gets whether the last attempt on the engine failed. */
@@ -159,12 +159,12 @@
   }
 
   /** Gets the mean prefill speed of the engines that were measured, in tokens per millisecond. */
-  meanReadPerMs(engines: readonly UpstreamId[]): number | undefined {
+  meanPrefillTokensPerMs(engines: readonly UpstreamId[]): number | undefined {
     return meanOf(engines.map((engine) => this.prefillTokensPerMs(engine)));
   }
 
   /** Gets the mean time between output tokens over the engines that were measured. */
-  meanTokenMs(engines: readonly UpstreamId[]): Millis | undefined {
+  meanTokenIntervalMs(engines: readonly UpstreamId[]): Millis | undefined {
     return meanOf(engines.map((engine) => this.healthByEngine.get(engine)?.tokenIntervalMs));
   }
 
--- a/packages/decisions/src/local/EngineKnowledge.ts
+++ b/packages/decisions/src/local/EngineKnowledge.ts
@@ -1,8 +1,8 @@
 import type { Millis } from '@camphorvane/core';
-import { DemandBook } from '../shift/DemandBook.ts';
-import { EngineMoves } from '../shift/EngineMoves.ts';
+import { DemandTracker } from '../roles/DemandTracker.ts';
+import { RoleChanges } from '../roles/RoleChanges.ts';
 import { EngineHealth } from './EngineHealth.ts';
-import { UseBook } from './EngineUse.ts';
+import { InFlightTracker } from './InFlightTracker.ts';
 import { PeerCounts } from './PeerCounts.ts';
 import { SlowStart } from './SlowStart.ts';
 
@@ -15,19 +15,19 @@
 /** What one host knows of the engines and the demand; placement and role changes are based on it. */
 export class EngineKnowledge {
   /** Load in flight on each engine, from this host and its peers. */
-  readonly use = new UseBook();
+  readonly inFlight = new InFlightTracker();
 
   /** Requests that are queued on other hosts and can still meet their target, by pool. */
-  readonly waiting = new PeerCounts(BACKLOG_REPORT_TTL_MS);
+  readonly peerBacklog = new PeerCounts(BACKLOG_REPORT_TTL_MS);
 
   /** Failures and speed of each engine, as seen by this host. */
   readonly health = new EngineHealth();
 
   /** Engines whose role is being changed. */
-  readonly moves = new EngineMoves();
+  readonly roleChanges = new RoleChanges();
 
   /** Demand on each pool, over all hosts. */
-  readonly demand = new DemandBook();
+  readonly demand = new DemandTracker();
 
   /** Upstreams that have just started, and how many requests they may get. */
   readonly slowStart: SlowStart;
--- a/packages/decisions/src/local/HoldRanks.ts
+++ b/packages/decisions/src/local/FootprintRanks.ts
@@ -5,7 +5,7 @@
 const MIN_RECORDED = 16;
 
 /** Ranks requests by memory footprint among the recent ones of their pool. */
-export class HoldRanks {
+export class FootprintRanks {
   private recent: readonly number[] = [];
 
   /**
@@ -13,7 +13,7 @@
    *
    * @param memorySteps - Its footprint: memory times the output tokens for which it is held.
    */
-  note(memorySteps: number): void {
+  record(memorySteps: number): void {
     this.recent = [...this.recent.slice(1 - COMPARED_REQUESTS), memorySteps];
   }
 
--- a/packages/decisions/src/local/EngineUse.ts
+++ b/packages/decisions/src/local/InFlightTracker.ts
@@ -1,8 +1,8 @@
 import type { HostId, Millis, Tokens, UpstreamId } from '@camphorvane/core';
-import { gossipPace } from './gossipPace.ts';
+import { gossipTimings } from './gossipTimings.ts';
 
 /** Load that one host has in flight on one engine. */
-export interface EngineUse {
+export interface InFlightLoad {
   /** Prompt tokens that were dispatched and whose prefill has not ended. */
   readonly prefillTokens: Tokens;
   /** Requests that hold a decode slot. */
@@ -12,7 +12,7 @@
 }
 
 /** Prompts that were dispatched to an engine and whose prefill has not ended. */
-export interface PromptQueue {
+export interface PrefillBacklog {
   /** Tokens that this host has there. */
   readonly own: Tokens;
   /** Tokens that peers had there when they last reported. */
@@ -22,7 +22,7 @@
 }
 
 /** Load of a host that has nothing in flight on an engine. */
-export const NO_USE: EngineUse = { prefillTokens: 0, streams: 0, memoryTokens: 0 };
+export const NO_LOAD: InFlightLoad = { prefillTokens: 0, streams: 0, memoryTokens: 0 };
 
 /**
  * Shortest lifetime of a peer's report, in milliseconds. A host that is silent for longer is dead,
@@ -37,19 +37,19 @@
   readonly at: Millis;
   /** Hosts that the report covers. */
   readonly hosts: number;
-  readonly loads: ReadonlyMap<UpstreamId, EngineUse>;
+  readonly loads: ReadonlyMap<UpstreamId, InFlightLoad>;
 }
 
 /** Tracks the load that this host and its peers have in flight on each engine. */
-export class UseBook {
-  private readonly own = new Map<UpstreamId, EngineUse>();
+export class InFlightTracker {
+  private readonly own = new Map<UpstreamId, InFlightLoad>();
 
   private readonly reports = new Map<HostId, PeerReport>();
 
   /** Adds to the load of this host on an engine; negative figures are subtracted, down to zero. */
-  change(engine: UpstreamId, delta: Partial<EngineUse>): void {
-    const load = this.own.get(engine) ?? NO_USE;
-    const next: EngineUse = {
+  adjust(engine: UpstreamId, delta: Partial<InFlightLoad>): void {
+    const load = this.own.get(engine) ?? NO_LOAD;
+    const next: InFlightLoad = {
       prefillTokens: Math.max(0, load.prefillTokens + (delta.prefillTokens ?? 0)),
       streams: Math.max(0, load.streams + (delta.streams ?? 0)),
       memoryTokens: Math.max(0, load.memoryTokens + (delta.memoryTokens ?? 0)),
@@ -60,13 +60,13 @@
   }
 
   /** Stores the report of one peer, in place of its previous one. */
-  receive(peer: HostId, loads: ReadonlyMap<UpstreamId, EngineUse>, now: Millis): void {
+  receive(peer: HostId, loads: ReadonlyMap<UpstreamId, InFlightLoad>, now: Millis): void {
     this.reports.delete(ALL_PEERS);
     this.reports.set(peer, { at: now, hosts: 1, loads });
   }
 
   /** Stores the sum over all peers, in place of all earlier reports. */
-  receiveSum(loads: ReadonlyMap<UpstreamId, EngineUse>, hosts: number, now: Millis): void {
+  receiveSum(loads: ReadonlyMap<UpstreamId, InFlightLoad>, hosts: number, now: Millis): void {
     this.reports.clear();
     this.reports.set(ALL_PEERS, { at: now, hosts, loads });
   }
@@ -77,20 +77,20 @@
   }
 
   /** Gets the load of this host on each engine, as reported to its peers. */
-  getOwn(): ReadonlyMap<UpstreamId, EngineUse> {
+  getOwn(): ReadonlyMap<UpstreamId, InFlightLoad> {
     return this.own;
   }
 
   /** Gets the load of all hosts on an engine, as far as this host knows. */
-  getTotal(engine: UpstreamId, now: Millis): EngineUse {
-    const own = this.own.get(engine) ?? NO_USE;
+  getTotal(engine: UpstreamId, now: Millis): InFlightLoad {
+    const own = this.own.get(engine) ?? NO_LOAD;
     return this.freshReports(now)
-      .map((report) => report.loads.get(engine) ?? NO_USE)
+      .map((report) => report.loads.get(engine) ?? NO_LOAD)
       .reduce(sumLoads, own);
   }
 
   /** Gets the prompts that are waiting for prefill on an engine, and the age of the newest report. */
-  getPromptQueue(engine: UpstreamId, now: Millis): PromptQueue {
+  getPrefillBacklog(engine: UpstreamId, now: Millis): PrefillBacklog {
     const reported = this.freshReports(now).map(({ at, loads }) => ({
       ageMs: now - at,
       tokens: loads.get(engine)?.prefillTokens ?? 0,
@@ -104,12 +104,12 @@
   }
 
   private freshReports(now: Millis): readonly PeerReport[] {
-    const ttlMs = Math.max(MIN_REPORT_TTL_MS, gossipPace(this.getHostCount()).silentMs);
+    const ttlMs = Math.max(MIN_REPORT_TTL_MS, gossipTimings(this.getHostCount()).silentMs);
     return [...this.reports.values()].filter((report) => now - report.at <= ttlMs);
   }
 }
 
-function sumLoads(a: EngineUse, b: EngineUse): EngineUse {
+function sumLoads(a: InFlightLoad, b: InFlightLoad): InFlightLoad {
   return {
     prefillTokens: a.prefillTokens + b.prefillTokens,
     streams: a.streams + b.streams,
--- a/packages/decisions/src/local/LocalPlacement.ts
+++ b/packages/decisions/src/local/LocalPlacement.ts
@@ -1,13 +1,13 @@
 import type { EngineConfig, Millis, Tokens, UpstreamId } from '@camphorvane/core';
 import { RandomSource, TOKENS_PER_PIECE } from '@camphorvane/core';
-import type { EngineMoves } from '../shift/EngineMoves.ts';
+import type { RoleChanges } from '../roles/RoleChanges.ts';
 import type { EngineHealth } from './EngineHealth.ts';
 import type { EngineKnowledge } from './EngineKnowledge.ts';
-import type { UseBook } from './EngineUse.ts';
+import type { InFlightTracker } from './InFlightTracker.ts';
 import type { SlowStart } from './SlowStart.ts';
 
 /** A request that needs engines. */
-export interface PlacementWish {
+export interface PlacementRequest {
   readonly promptTokens: Tokens;
   /** KV memory that the request holds on average while it runs, in tokens. */
   readonly memoryTokens: Tokens;
@@ -23,7 +23,7 @@
   readonly prefill: UpstreamId | undefined;
   readonly decode: UpstreamId;
   /** Expected time until the prefill has ended, in milliseconds, including the prompts ahead of it. */
-  readonly readMs: Millis;
+  readonly expectedPrefillMs: Millis;
 }
 
 /** Factor by which a prefill takes longer on a decode engine, which interleaves it with decode steps. */
@@ -51,7 +51,7 @@
  * Fraction of the memory of an engine that hosts fill. The rest covers requests that several hosts place
  * at the same moment; an engine that runs out preempts a running stream and prefills it again.
  */
-export const MEMORY_PART = 0.95;
+export const MEMORY_FILL_LIMIT = 0.95;
 
 /**
  * Hosts from which on the best engine is chosen among a random sample. With digests that are slightly
@@ -95,11 +95,11 @@
 
   private engineIds: readonly UpstreamId[] = [];
 
-  private readonly use: UseBook;
+  private readonly inFlight: InFlightTracker;
 
   private readonly health: EngineHealth;
 
-  private readonly moves: EngineMoves;
+  private readonly roleChanges: RoleChanges;
 
   private readonly slowStart: SlowStart;
 
@@ -109,22 +109,25 @@
    * @param knowledge - What this host knows of the engines.
    * @param random - Samples engines in large fleets.
    */
-  constructor({ use, health, moves, slowStart }: EngineKnowledge, random = new RandomSource(1)) {
-    this.use = use;
+  constructor(
+    { inFlight, health, roleChanges, slowStart }: EngineKnowledge,
+    random = new RandomSource(1),
+  ) {
+    this.inFlight = inFlight;
     this.health = health;
-    this.moves = moves;
+    this.roleChanges = roleChanges;
     this.slowStart = slowStart;
     this.random = random;
   }
 
   /** Sets the engines to choose from. */
-  reshape(engines: readonly EngineConfig[]): void {
+  setEngines(engines: readonly EngineConfig[]): void {
     this.engines = engines;
     this.engineIds = engines.map(({ id }) => id);
   }
 
   /** Gets whether there is any decode engine. */
-  hasEngines(): boolean {
+  hasDecodeEngine(): boolean {
     return this.engines.some((engine) => engine.role === 'decode');
   }
 
@@ -135,7 +138,7 @@
    * @param now - Present time.
    * @returns The engines, or undefined while no decode engine has room.
    */
-  choose(req: PlacementWish, now: Millis): EnginePair | undefined {
+  choose(req: PlacementRequest, now: Millis): EnginePair | undefined {
     const decodes = this.sample(this.decodeOptions(req, now));
     const prefills = this.sample(this.prefillOptions(req, now));
     const disaggregated = decodes.flatMap((decode) =>
@@ -157,7 +160,7 @@
    * @returns The decode engine, or undefined where none has room.
    */
   chooseDecode(
-    req: PlacementWish,
+    req: PlacementRequest,
     prefill: UpstreamId | undefined,
     now: Millis,
   ): UpstreamId | undefined {
@@ -173,13 +176,13 @@
   }
 
   /** Estimates the time that the prefill of a request would take if the chosen engines were idle. */
-  idleReadMs(req: PlacementWish, pair: EnginePair): Millis {
+  idlePrefillMs(req: PlacementRequest, pair: EnginePair): Millis {
     const ms = this.prefillMs(pair.prefill ?? pair.decode, req.promptTokens);
     return pair.prefill === undefined ? ms * DECODE_PREFILL_FACTOR : ms;
   }
 
   private sample<T>(all: readonly T[]): readonly T[] {
-    if (this.use.getHostCount() < SAMPLING_MIN_HOSTS || all.length <= SAMPLE_SIZE) return all;
+    if (this.inFlight.getHostCount() < SAMPLING_MIN_HOSTS || all.length <= SAMPLE_SIZE) return all;
     return all
       .map((option) => ({ option, sortKey: this.random.next() }))
       .sort((a, b) => a.sortKey - b.sortKey)
@@ -193,7 +196,7 @@
    * Its streams get one token per prefill chunk, so an event of theirs is delayed by the whole prefill:
    * one request that starts sooner could make all of them late.
    */
-  private mayPrefill({ cfg, streams }: DecodeOption, req: PlacementWish): boolean {
+  private mayPrefill({ cfg, streams }: DecodeOption, req: PlacementRequest): boolean {
     if (streams === 0) return true;
     const { longestPauseMs = Infinity } = req;
     const tokenMs = this.health.tokenMs(cfg.id, this.engineIds) ?? 0;
@@ -203,18 +206,18 @@
   }
 
   private prefillMs(engine: UpstreamId, tokens: Tokens): Millis {
-    return this.health.readMs(engine, tokens, this.engineIds);
+    return this.health.estimatePrefillMs(engine, tokens, this.engineIds);
   }
 
-  private colocatedChoice({ cfg, memoryFill }: DecodeOption, req: PlacementWish): Choice {
-    const readMs = this.prefillMs(cfg.id, req.promptTokens) * DECODE_PREFILL_FACTOR;
+  private colocatedChoice({ cfg, memoryFill }: DecodeOption, req: PlacementRequest): Choice {
+    const expectedPrefillMs = this.prefillMs(cfg.id, req.promptTokens) * DECODE_PREFILL_FACTOR;
     return {
-      pair: { prefill: undefined, decode: cfg.id, readMs },
-      cost: readMs + DECODE_PREFILL_COST_MS + memoryFill * FULL_ENGINE_COST_MS,
+      pair: { prefill: undefined, decode: cfg.id, expectedPrefillMs },
+      cost: expectedPrefillMs + DECODE_PREFILL_COST_MS + memoryFill * FULL_ENGINE_COST_MS,
     };
   }
 
-  private prefillOptions(req: PlacementWish, now: Millis): readonly PrefillOption[] {
+  private prefillOptions(req: PlacementRequest, now: Millis): readonly PrefillOption[] {
     return this.usableEngines('prefill', req, now).map((cfg) => {
       const prefillMs = this.backlogMs(cfg.id, now) + this.prefillMs(cfg.id, req.promptTokens);
       return { cfg, prefillMs };
@@ -228,15 +231,15 @@
    * were prefilled long ago would otherwise keep this host away from idle engines.
    */
   private backlogMs(engine: UpstreamId, now: Millis): Millis {
-    const { own, peers, peersAgeMs } = this.use.getPromptQueue(engine, now);
+    const { own, peers, peersAgeMs } = this.inFlight.getPrefillBacklog(engine, now);
     const peersMs = peers === 0 ? 0 : Math.max(0, this.prefillMs(engine, peers) - peersAgeMs);
     return (own === 0 ? 0 : this.prefillMs(engine, own)) + peersMs;
   }
 
   /** Gets the decode engines with a free slot and memory for the request. */
-  private decodeOptions(req: PlacementWish, now: Millis): readonly DecodeOption[] {
+  private decodeOptions(req: PlacementRequest, now: Millis): readonly DecodeOption[] {
     return this.usableEngines('decode', req, now)
-      .map((cfg) => ({ cfg, load: this.use.getTotal(cfg.id, now) }))
+      .map((cfg) => ({ cfg, load: this.inFlight.getTotal(cfg.id, now) }))
       .filter(({ cfg, load }) => load.streams < (cfg.slots ?? Infinity))
       .map(({ cfg, load }) => ({
         cfg,
@@ -244,7 +247,7 @@
         streams: load.streams,
         isPrefilling: load.prefillTokens > 0,
       }))
-      .filter(({ memoryFill }) => memoryFill <= MEMORY_PART);
+      .filter(({ memoryFill }) => memoryFill <= MEMORY_FILL_LIMIT);
   }
 
   /**
@@ -254,18 +257,19 @@
    */
   private usableEngines(
     role: EngineConfig['role'],
-    req: PlacementWish,
+    req: PlacementRequest,
     now: Millis,
   ): readonly EngineConfig[] {
     const usable = this.engines.filter(
       ({ id, role: own }) => own === role && !req.avoid.includes(id) && this.isUsable(id, now),
     );
-    const healthy = usable.filter((cfg) => !this.health.isResting(cfg.id, now));
+    const healthy = usable.filter((cfg) => !this.health.isBackingOff(cfg.id, now));
     return healthy.length > 0 ? healthy : usable;
   }
 
   private isUsable(id: UpstreamId, now: Millis): boolean {
-    if (this.health.isSuspected(id) || this.moves.roleOf(id, now) !== undefined) return false;
+    if (this.health.isSuspected(id) || this.roleChanges.getTargetRole(id, now) !== undefined)
+      return false;
     return this.slowStart.allowance(id, now) > 0;
   }
 }
@@ -273,7 +277,7 @@
 function disaggregatedChoice(prefill: PrefillOption, decode: DecodeOption): Choice {
   const zoneCostMs = prefill.cfg.zone === decode.cfg.zone ? 0 : CROSS_ZONE_COST_MS;
   return {
-    pair: { prefill: prefill.cfg.id, decode: decode.cfg.id, readMs: prefill.prefillMs },
+    pair: { prefill: prefill.cfg.id, decode: decode.cfg.id, expectedPrefillMs: prefill.prefillMs },
     cost: prefill.prefillMs + zoneCostMs + decode.memoryFill * FULL_ENGINE_COST_MS,
   };
 }
--- a/packages/decisions/src/local/LocalQueue.ts
+++ b/packages/decisions/src/local/LocalQueue.ts
@@ -1,10 +1,10 @@
 import type { Millis, Refusal, RequestId, TeamId } from '@camphorvane/core';
 import { notRun } from '@camphorvane/core';
-import { HoldRanks } from './HoldRanks.ts';
-import type { EnginePair, LocalPlacement, PlacementWish } from './LocalPlacement.ts';
+import { FootprintRanks } from './FootprintRanks.ts';
+import type { EnginePair, LocalPlacement, PlacementRequest } from './LocalPlacement.ts';
 
 /** A request that waits for engines. */
-export interface QueuedWish extends PlacementWish {
+export interface QueuedRequest extends PlacementRequest {
   readonly request: RequestId;
   readonly team: TeamId;
   /** Lower goes first. */
@@ -12,7 +12,7 @@
   /** Memory footprint: memory times the output tokens for which it is held. */
   readonly memorySteps: number;
   /** Time at which the request was submitted. */
-  readonly since: Millis;
+  readonly submittedAt: Millis;
   /** Time after which the first token can't meet its target any more. */
   readonly lateAt: Millis;
   /** Time at which the request is refused unless it was placed before. */
@@ -20,13 +20,13 @@
 }
 
 /** A waiting request with the rank of its memory footprint. */
-interface RankedRequest extends QueuedWish {
+interface RankedRequest extends QueuedRequest {
   /** Fraction of the recent requests with a smaller footprint. */
   readonly rank: number;
 }
 
 /** What a request waits for: memory on a decode engine, a free prefill engine, or requests before it. */
-export type Lack = 'room' | 'reading' | 'turn';
+export type WaitReason = 'room' | 'reading' | 'turn';
 
 /** A decision of the queue on one request. */
 export type QueueDecision =
@@ -35,7 +35,7 @@
       readonly request: RequestId;
       readonly pair: EnginePair;
       /** What the request waited for last; undefined where it did not wait. */
-      readonly lacked: Lack | undefined;
+      readonly waitReason: WaitReason | undefined;
     }
   | { readonly type: 'refuse'; readonly request: RequestId; readonly refusal: Refusal };
 
@@ -85,9 +85,9 @@
   private waiting: readonly RankedRequest[] = [];
 
   /** What each waiting request has waited for last. */
-  private readonly waitReasons = new Map<RequestId, Lack>();
+  private readonly waitReasons = new Map<RequestId, WaitReason>();
 
-  private readonly ranks = new HoldRanks();
+  private readonly ranks = new FootprintRanks();
 
   private readonly peersOnTime: (now: Millis) => number;
 
@@ -116,15 +116,15 @@
    * @param req - The request.
    * @returns The refusal, where there is no engine or the queue is full; undefined otherwise.
    */
-  submit(req: QueuedWish): Refusal | undefined {
-    if (!this.placement.hasEngines()) {
+  submit(req: QueuedRequest): Refusal | undefined {
+    if (!this.placement.hasDecodeEngine()) {
       return notRun('no_capacity', 'No engine of this model is known.', RETRY_AFTER_MS);
     }
     if (this.waiting.length >= MAX_QUEUE_LENGTH) {
       return notRun('queue_full', 'Too many requests wait for this model.', RETRY_AFTER_MS);
     }
     this.waiting = [...this.waiting, { ...req, rank: this.ranks.rankOf(req.memorySteps) }];
-    this.ranks.note(req.memorySteps);
+    this.ranks.record(req.memorySteps);
     return undefined;
   }
 
@@ -135,7 +135,7 @@
   }
 
   /** Records that a placed request of a team has ended. */
-  ended(team: TeamId): void {
+  requestEnded(team: TeamId): void {
     const remaining = (this.runningByTeam.get(team) ?? 1) - 1;
     if (remaining > 0) this.runningByTeam.set(team, remaining);
     else this.runningByTeam.delete(team);
@@ -162,14 +162,14 @@
       return undefined;
     }
     const pair = this.placement.choose(first, now);
-    if (pair === undefined || pair.readMs > this.maxPrefillMs(first, pair, now)) {
+    if (pair === undefined || pair.expectedPrefillMs > this.maxPrefillMs(first, pair, now)) {
       this.recordWaitReasons(first, pair === undefined ? 'room' : 'reading');
       return undefined;
     }
-    const lacked = this.waitReasons.get(first.request);
+    const waitReason = this.waitReasons.get(first.request);
     this.withdraw(first.request);
     this.runningByTeam.set(first.team, (this.runningByTeam.get(first.team) ?? 0) + 1);
-    return { type: 'place', request: first.request, pair, lacked };
+    return { type: 'place', request: first.request, pair, waitReason };
   }
 
   /** Gets whether a request leaves free capacity to the requests that wait on other hosts. */
@@ -180,7 +180,7 @@
     return smallerOnPeers >= 1 && waitedFraction(req, now) < req.rank * YIELD_FRACTION;
   }
 
-  private recordWaitReasons(first: QueuedWish, reason: Lack): void {
+  private recordWaitReasons(first: QueuedRequest, reason: WaitReason): void {
     this.waiting.forEach(({ request }) => {
       if (request === first.request) this.waitReasons.set(request, reason);
       else if (!this.waitReasons.has(request)) this.waitReasons.set(request, 'turn');
@@ -188,8 +188,8 @@
   }
 
   /** A prompt that exceeds the bound even on an idle engine is not held back for its size. */
-  private maxPrefillMs(req: QueuedWish, pair: EnginePair, now: Millis): Millis {
-    const idleMs = this.placement.idleReadMs(req, pair) + LATE_PREFILL_MARGIN_MS;
+  private maxPrefillMs(req: QueuedRequest, pair: EnginePair, now: Millis): Millis {
+    const idleMs = this.placement.idlePrefillMs(req, pair) + LATE_PREFILL_MARGIN_MS;
     return now >= req.lateAt ? idleMs : Math.max(MAX_PREFILL_MS, idleMs);
   }
 
@@ -209,6 +209,6 @@
 }
 
 /** Gets which fraction of the time from submission to the target has passed. */
-function waitedFraction({ since, lateAt }: QueuedWish, now: Millis): number {
-  return (now - since) / Math.max(1, lateAt - since);
+function waitedFraction({ submittedAt, lateAt }: QueuedRequest, now: Millis): number {
+  return (now - submittedAt) / Math.max(1, lateAt - submittedAt);
 }
--- a/packages/decisions/src/local/PeerCounts.ts
+++ b/packages/decisions/src/local/PeerCounts.ts
@@ -39,7 +39,7 @@
   }
 
   /** Gets how many peers reported lately. */
-  heard(now: Millis): number {
+  countPeers(now: Millis): number {
     return this.fresh(now).reduce((sum, { peers }) => sum + peers, 0);
   }
 
--- a/packages/decisions/src/local/SlowStart.ts
+++ b/packages/decisions/src/local/SlowStart.ts
@@ -48,13 +48,13 @@
   }
 
   /** Sets the bounds of all upstreams that have any, and drops the counted requests of the others. */
-  reshape(bounds: ReadonlyMap<UpstreamId, SlowStartBounds>): void {
+  setBounds(bounds: ReadonlyMap<UpstreamId, SlowStartBounds>): void {
     this.bounds = bounds;
     [...this.sentAt.keys()].filter((id) => !bounds.has(id)).forEach((id) => this.sentAt.delete(id));
   }
 
   /** Drops the state of upstreams that are not in the given set. */
-  keepOnly(listed: ReadonlySet<UpstreamId>): void {
+  retain(listed: ReadonlySet<UpstreamId>): void {
     [...this.states.keys()].filter((id) => !listed.has(id)).forEach((id) => this.states.delete(id));
   }
 
@@ -65,7 +65,7 @@
    * @param leftMs - Milliseconds for which it goes on starting; undefined where it did not report any.
    * @param now - Present time.
    */
-  started(upstream: UpstreamId, leftMs: Millis | undefined, now: Millis): void {
+  recordStart(upstream: UpstreamId, leftMs: Millis | undefined, now: Millis): void {
     const state = this.stateOf(upstream);
     const next =
       leftMs === undefined
@@ -75,12 +75,12 @@
   }
 
   /** Records a failed connection: the upstream may have crashed, and be empty when it is back. */
-  unreachable(upstream: UpstreamId): void {
+  recordUnreachable(upstream: UpstreamId): void {
     this.states.set(upstream, { ...this.stateOf(upstream), isUnreachable: true });
   }
 
   /** Records an answer; an upstream whose last connection failed counts as started now. */
-  answered(upstream: UpstreamId, now: Millis): void {
+  recordAnswer(upstream: UpstreamId, now: Millis): void {
     const state = this.stateOf(upstream);
     if (!state.isUnreachable) return;
     this.states.set(upstream, { ...state, isUnreachable: false, assumedStartAt: now });
@@ -101,7 +101,7 @@
   }
 
   /** Counts a request to an upstream against its quota. */
-  used(upstream: UpstreamId, now: Millis): void {
+  recordRequest(upstream: UpstreamId, now: Millis): void {
     if (!this.bounds.has(upstream)) return;
     this.sentAt.set(upstream, [...this.recentlySent(upstream, now), now]);
   }
--- a/packages/decisions/src/local/gossipPace.ts
+++ b/packages/decisions/src/local/gossipTimings.ts
@@ -1,8 +1,8 @@
 import type { Millis } from '@camphorvane/core';
-import { SERVING_PART } from './isServing.ts';
+import { SERVING_FRACTION } from './isServing.ts';
 
 /** Periods of gossip and of store access, and the timeouts that follow from them. */
-export interface GossipPace {
+export interface GossipTimings {
   /** Whether gossip goes through a few relays, which pass on digests of it, instead of a full mesh. */
   readonly isRelayed: boolean;
   /** Longest time between two gossip messages of a serving host, in milliseconds. */
@@ -88,10 +88,10 @@
  * @param hosts - Number of hosts in the fleet.
  * @returns Periods and timeouts.
  */
-export function gossipPace(hosts: number): GossipPace {
+export function gossipTimings(hosts: number): GossipTimings {
   const isRelayed = hosts > FULL_MESH_MAX_HOSTS;
   const gapMs = isRelayed ? RELAYED_GAP_MS : FULL_MESH_GAP_MS;
-  const servingHosts = hosts * SERVING_PART;
+  const servingHosts = hosts * SERVING_FRACTION;
   const periodMs = isRelayed ? relayedPeriodMs(servingHosts) : FULL_MESH_PERIOD_MS;
   const standbyPeriodMs = isRelayed
     ? relayedPeriodMs(hosts * STANDBY_SLOWDOWN)
@@ -105,7 +105,7 @@
     MAX_RECORD_READ_MS,
   );
   const pollMs = clamp(MIN_POLL_MS, intervalMs(hosts, POLLS_PER_SECOND), MAX_POLL_MS);
-  const silentMs = hintLifetime(isRelayed ? Math.max(periodMs, standbyDigestMs) : periodMs);
+  const silentMs = gossipTtlMs(isRelayed ? Math.max(periodMs, standbyDigestMs) : periodMs);
   return {
     ...{ isRelayed, periodMs, standbyPeriodMs, gapMs, digestMs, standbyDigestMs },
     ...{ silentMs, recordMs, recordReadMs, pollMs },
@@ -118,7 +118,7 @@
  * @param nextMs - Milliseconds within which the next message is due.
  * @returns Milliseconds after which the message is discarded.
  */
-export function hintLifetime(nextMs: Millis): Millis {
+export function gossipTtlMs(nextMs: Millis): Millis {
   return nextMs * TIMEOUT_PERIODS + TIMEOUT_MARGIN_MS;
 }
 
--- a/packages/decisions/src/local/isServing.ts
+++ b/packages/decisions/src/local/isServing.ts
@@ -11,7 +11,7 @@
 const ALL_SERVE_MAX_HOSTS = 20;
 
 /** Fraction of the capacity of a zone that serves callers; the rest is on standby. */
-export const SERVING_PART = 1 / 3;
+export const SERVING_FRACTION = 1 / 3;
 
 /** Fewest serving hosts of a zone, so that callers of a host that has crashed find another one. */
 const MIN_SERVING_HOSTS = 3;
@@ -38,7 +38,7 @@
   const index = zoneHosts.findIndex((candidate) => candidate.host === host);
   if (index < MIN_SERVING_HOSTS) return true;
   const total = totalStrength(zoneHosts);
-  return totalStrength(zoneHosts.slice(0, index)) < total * SERVING_PART;
+  return totalStrength(zoneHosts.slice(0, index)) < total * SERVING_FRACTION;
 }
 
 /**
--- a/packages/decisions/src/local/meanMemory.ts
+++ b/packages/decisions/src/local/meanMemoryTokens.ts
@@ -13,7 +13,7 @@
  * @param item - The request.
  * @returns Tokens of memory.
  */
-export function meanMemory({
+export function meanMemoryTokens({
   promptTokens,
   maxOutputTokens,
   expectedOutputTokens,
@@ -29,7 +29,7 @@
  * @returns Tokens of memory times decode steps.
  */
 export function memorySteps(item: WorkItem): number {
-  return meanMemory(item) * outputOf(item);
+  return meanMemoryTokens(item) * outputOf(item);
 }
 
 /** Gets the output that is expected, or the most that is allowed where nothing is expected. */
--- a/packages/decisions/src/place/DecodeBoard.ts
+++ b/packages/decisions/src/place/DecodeBalancer.ts
@@ -1,7 +1,7 @@
 import type { Millis, Pieces, UpstreamId } from '@camphorvane/core';
 import type { MemoryLedger } from '../ledger/MemoryLedger.ts';
 import { IndexedHeap } from '../structures/IndexedHeap.ts';
-import { type EngineState, takesWork } from './EngineState.ts';
+import { type EngineState, isAvailable } from './EngineState.ts';
 
 /** Maximum number of engines examined per index and request, which bounds the cost of a choice. */
 const MAX_CANDIDATES = 8;
@@ -13,7 +13,7 @@
  * the same time spread out instead of all going to the engine that was least loaded at the last
  * report.
  */
-export class DecodeBoard {
+export class DecodeBalancer {
   private readonly byLoad = new IndexedHeap<UpstreamId>();
 
   private readonly byFreeMemory = new IndexedHeap<UpstreamId>();
@@ -26,17 +26,17 @@
   ) {}
 
   /** Sets the target inter-token latency, in milliseconds. */
-  setTarget(itlTargetMs: Millis): void {
+  setItlTarget(itlTargetMs: Millis): void {
     this.itlTargetMs = itlTargetMs;
   }
 
   /** Gets the number of engines that accept new work. */
-  get size(): number {
+  get availableCount(): number {
     return this.byLoad.size;
   }
 
   /** Tells whether a list contains every decode engine of the pool, whether up or down. */
-  areAllIn(ids: readonly UpstreamId[]): boolean {
+  areAllExcluded(ids: readonly UpstreamId[]): boolean {
     if (ids.length === 0) return false;
     return [...this.engines.values()].every(
       ({ cfg }) => cfg.role !== 'decode' || ids.includes(cfg.id),
@@ -47,13 +47,13 @@
   refresh(engine: EngineState): void {
     const { id, memoryPieces, role } = engine.cfg;
     this.engines.set(id, engine);
-    if (!takesWork(engine) || role !== 'decode') {
+    if (!isAvailable(engine) || role !== 'decode') {
       this.byLoad.delete(id);
       this.byFreeMemory.delete(id);
       return;
     }
     const free = this.ledger.getFree(id);
-    const streamLoad = this.ledger.getHolders(id) / this.getStreamLimit(engine);
+    const streamLoad = this.ledger.countReservations(id) / this.getStreamLimit(engine);
     this.byLoad.set(id, Math.max(streamLoad, 1 - free / memoryPieces));
     this.byFreeMemory.set(id, -free);
   }
@@ -94,7 +94,7 @@
   private hasRoom(engine: EngineState, pieces: Pieces, reserve: number): boolean {
     const { id, memoryPieces } = engine.cfg;
     const free = this.ledger.getFree(id);
-    const streams = this.ledger.getHolders(id);
+    const streams = this.ledger.countReservations(id);
     if (free < pieces) return false;
     if (streams === 0) return true;
     const limit = this.getStreamLimit(engine);
@@ -102,6 +102,6 @@
   }
 
   private getStreamLimit(engine: EngineState): number {
-    return engine.speed.getUsefulStreams(this.itlTargetMs);
+    return engine.speed.getStreamLimit(this.itlTargetMs);
   }
 }
--- a/packages/decisions/src/place/EngineChooser.ts
+++ b/packages/decisions/src/place/EngineChooser.ts
@@ -7,11 +7,11 @@
 } from '@camphorvane/core';
 import type { LinkLedger } from '../ledger/LinkLedger.ts';
 import type { WorkItem } from '../PoolScheduler.ts';
-import { getLeftToLookups } from '../queue/leftToLookups.ts';
+import { getLookupHeadroom } from '../queue/lookupHeadroom.ts';
 import type { QueuedWork } from '../queue/QueuedWork.ts';
 import type { EngineState } from './EngineState.ts';
 import type { EngineTable } from './EngineTable.ts';
-import type { PrefillChoice } from './PrefillBoard.ts';
+import type { PrefillChoice } from './PrefillBalancer.ts';
 
 /**
  * Longest time for which a prefill result may wait for the link into its decode engine. The prefill
@@ -54,7 +54,7 @@
    */
   choose(work: QueuedWork, now: Millis): PlacementResult {
     const { item, pieces } = work;
-    const reserveShare = getLeftToLookups(work, now);
+    const reserveShare = getLookupHeadroom(work, now);
     const prefill = this.table.prefill.choose(item, now);
     if (prefill === undefined) return { type: 'no_room', lacking: 'prefill' };
     const readyAt = now + prefill.readyInMs;
@@ -76,8 +76,8 @@
    * @param now - Present time.
    * @returns Milliseconds; the prefill counts as 0 while the engine's speed is not known.
    */
-  getLeastMs(item: WorkItem, now: Millis): Millis {
-    const prefillMs = this.table.prefill.getLeastMs(item, now);
+  getMinTtftMs(item: WorkItem, now: Millis): Millis {
+    const prefillMs = this.table.prefill.getMinPrefillMs(item, now);
     return prefillMs + this.links.getTransferMs(piecesFor(item.promptTokens));
   }
 
@@ -101,7 +101,7 @@
   ): boolean {
     const waitMs = this.links.getWaitMs(engine.cfg.id, pieces, readyAt);
     if (waitMs > MAX_LINK_WAIT_MS) return false;
-    const tokenMs = engine.speed.getIntervalMs(1) ?? 0;
+    const tokenMs = engine.speed.getTokenIntervalMs(1) ?? 0;
     const firstTokenAt = readyAt + waitMs + this.links.getTransferMs(pieces) + tokenMs;
     return work.item.class !== 'lookup' || firstTokenAt <= work.lateAt;
   }
--- a/packages/decisions/src/place/EngineSpeed.ts
+++ b/packages/decisions/src/place/EngineSpeed.ts
@@ -50,7 +50,7 @@
   private prefillRate: number | undefined;
 
   /** Records the mean inter-token latency while a number of streams ran. */
-  observeInterval(meanMs: Millis, streams: number): void {
+  observeTokenInterval(meanMs: Millis, streams: number): void {
     if (streams <= 0 || meanMs <= 0) return;
     this.weight = this.weight * DECAY + 1;
     this.sumStreams = this.sumStreams * DECAY + streams;
@@ -79,7 +79,7 @@
   }
 
   /** Gets the expected inter-token latency with a number of streams, if it has been observed. */
-  getIntervalMs(streams: number): Millis | undefined {
+  getTokenIntervalMs(streams: number): Millis | undefined {
     if (this.weight === 0) return undefined;
     const { base, slope } = this.fit();
     return base + slope * streams;
@@ -91,7 +91,7 @@
    * @param targetMs - The target.
    * @returns Streams, at least one; Infinity before the first observation.
    */
-  getUsefulStreams(targetMs: Millis): number {
+  getStreamLimit(targetMs: Millis): number {
     if (this.weight === 0) return Infinity;
     const { base, slope } = this.fit();
     const budgetMs = targetMs * TARGET_SHARE - base;
--- a/packages/decisions/src/place/EngineState.ts
+++ b/packages/decisions/src/place/EngineState.ts
@@ -10,36 +10,36 @@
   /** True while the engine gets no new work because it leaves the pool or changes its role. */
   draining: boolean;
   /** End of the pause in which a slow engine gets no new work; 0 if the engine is not paused. */
-  slowUntil: Millis;
+  pausedUntil: Millis;
   /** Tokens of the lookup prefills in flight. */
   lookupBacklog: Tokens;
   /** Tokens of all prefills in flight. */
   backlog: Tokens;
   /** Number of lookup prefills in flight. */
-  lookupPrefills: number;
+  inFlightLookupPrefills: number;
   /** Number of all prefills in flight. */
-  prefills: number;
+  inFlightPrefills: number;
   /** End of the last prefill, or the later time at which the idle engine got a new one. */
   busySince: Millis;
 }
 
 /** Tells whether an engine accepts new work. */
-export function takesWork(engine: EngineState): boolean {
-  return !engine.down && !engine.draining && engine.slowUntil === 0;
+export function isAvailable(engine: EngineState): boolean {
+  return !engine.down && !engine.draining && engine.pausedUntil === 0;
 }
 
 /** Creates the state of an engine without observations. */
-export function newEngineState(cfg: EngineConfig): EngineState {
+export function createEngineState(cfg: EngineConfig): EngineState {
   return {
     cfg,
     speed: new EngineSpeed(),
     down: false,
     draining: false,
-    slowUntil: 0,
+    pausedUntil: 0,
     lookupBacklog: 0,
     backlog: 0,
-    lookupPrefills: 0,
-    prefills: 0,
+    inFlightLookupPrefills: 0,
+    inFlightPrefills: 0,
     busySince: 0,
   };
 }
--- a/packages/decisions/src/place/EngineTable.ts
+++ b/packages/decisions/src/place/EngineTable.ts
@@ -1,48 +1,48 @@
 import type { EngineConfig, Millis, Tokens, UpstreamId } from '@camphorvane/core';
 import type { LinkLedger } from '../ledger/LinkLedger.ts';
 import type { MemoryLedger } from '../ledger/MemoryLedger.ts';
-import type { EngineObservation, PoolShape } from '../PoolScheduler.ts';
-import type { CacheExpectation } from './CacheExpectation.ts';
+import type { EngineObservation, PoolSchedulerConfig } from '../PoolScheduler.ts';
+import type { PrefixCacheIndex } from './PrefixCacheIndex.ts';
 import { IndexedHeap } from '../structures/IndexedHeap.ts';
-import { DecodeBoard } from './DecodeBoard.ts';
-import { type EngineState, newEngineState } from './EngineState.ts';
-import { PrefillBoard } from './PrefillBoard.ts';
+import { DecodeBalancer } from './DecodeBalancer.ts';
+import { type EngineState, createEngineState } from './EngineState.ts';
+import { PrefillBalancer } from './PrefillBalancer.ts';
 
 /** Time for which a slow engine gets no new work; about ten decode steps of a very slow engine. */
 const SLOW_PAUSE_MS = 2_000;
 
 /** The engines of a pool; keeps the selection of both roles up to date as events arrive. */
 export class EngineTable {
-  readonly decode: DecodeBoard;
+  readonly decode: DecodeBalancer;
 
-  readonly prefill: PrefillBoard;
+  readonly prefill: PrefillBalancer;
 
   private readonly engines = new Map<UpstreamId, EngineState>();
 
   private readonly pauses = new IndexedHeap<UpstreamId>();
 
   constructor(
-    shape: PoolShape,
+    shape: PoolSchedulerConfig,
     private readonly memory: MemoryLedger,
     private readonly links: LinkLedger,
-    private readonly cache: CacheExpectation,
+    private readonly cache: PrefixCacheIndex,
   ) {
-    this.decode = new DecodeBoard(memory, shape.itlTargetMs);
-    this.prefill = new PrefillBoard(cache);
-    this.reshape(shape);
+    this.decode = new DecodeBalancer(memory, shape.itlTargetMs);
+    this.prefill = new PrefillBalancer(cache);
+    this.reconfigure(shape);
   }
 
   /** Memory of the largest decode engine, in pieces: the largest request that the pool can hold. */
-  largestMemory = 0;
+  maxDecodeMemoryPieces = 0;
 
   /** Applies a changed pool; an engine that changed its role keeps its running requests. */
-  reshape(shape: PoolShape): void {
+  reconfigure(shape: PoolSchedulerConfig): void {
     const ids = new Set(shape.engines.map((cfg) => cfg.id));
     [...this.engines.keys()].filter((id) => !ids.has(id)).forEach((id) => this.remove(id));
-    this.decode.setTarget(shape.itlTargetMs);
-    this.links.setRate(shape.linkPiecesPerSecond);
+    this.decode.setItlTarget(shape.itlTargetMs);
+    this.links.setBandwidth(shape.linkPiecesPerSecond);
     shape.engines.forEach((cfg) => this.put(cfg));
-    this.largestMemory = shape.engines
+    this.maxDecodeMemoryPieces = shape.engines
       .filter((cfg) => cfg.role === 'decode')
       .reduce((most, cfg) => Math.max(most, cfg.memoryPieces), 0);
   }
@@ -59,10 +59,10 @@
   prefillStarted(id: UpstreamId, tokens: Tokens, lookup: boolean, now: Millis): void {
     const engine = this.engines.get(id);
     if (engine === undefined) return;
-    if (engine.prefills === 0) engine.busySince = now;
-    engine.prefills += 1;
+    if (engine.inFlightPrefills === 0) engine.busySince = now;
+    engine.inFlightPrefills += 1;
     engine.backlog += tokens;
-    engine.lookupPrefills += lookup ? 1 : 0;
+    engine.inFlightLookupPrefills += lookup ? 1 : 0;
     engine.lookupBacklog += lookup ? tokens : 0;
     this.prefill.refresh(engine);
   }
@@ -71,17 +71,19 @@
   prefillEnded(id: UpstreamId, tokens: Tokens, lookup: boolean): void {
     const engine = this.engines.get(id);
     if (engine === undefined) return;
-    engine.prefills = Math.max(0, engine.prefills - 1);
-    engine.backlog = engine.prefills === 0 ? 0 : Math.max(0, engine.backlog - tokens);
-    engine.lookupPrefills = Math.max(0, engine.lookupPrefills - (lookup ? 1 : 0));
+    engine.inFlightPrefills = Math.max(0, engine.inFlightPrefills - 1);
+    engine.backlog = engine.inFlightPrefills === 0 ? 0 : Math.max(0, engine.backlog - tokens);
+    engine.inFlightLookupPrefills = Math.max(0, engine.inFlightLookupPrefills - (lookup ? 1 : 0));
     engine.lookupBacklog =
-      engine.lookupPrefills === 0 ? 0 : Math.max(0, engine.lookupBacklog - (lookup ? tokens : 0));
+      engine.inFlightLookupPrefills === 0
+        ? 0
+        : Math.max(0, engine.lookupBacklog - (lookup ? tokens : 0));
     this.prefill.refresh(engine);
   }
 
   /** Gets the number of prefills in flight on an engine. */
-  getPrefills(id: UpstreamId): number {
-    return this.engines.get(id)?.prefills ?? 0;
+  getInFlightPrefills(id: UpstreamId): number {
+    return this.engines.get(id)?.inFlightPrefills ?? 0;
   }
 
   /** Sets whether an engine is draining and gets no new work. */
@@ -93,17 +95,17 @@
   }
 
   /** Gets when the next pause of a slow engine ends, if any engine is paused. */
-  get nextTrial(): Millis | undefined {
+  get nextPauseEnd(): Millis | undefined {
     return this.pauses.peekKey();
   }
 
   /** Lets slow engines whose pause has ended accept work again. */
-  endPauses(now: Millis): void {
+  endExpiredPauses(now: Millis): void {
     let id = this.pauses.peek();
     while (id !== undefined && (this.pauses.peekKey() ?? Infinity) <= now) {
       this.pauses.delete(id);
       const engine = this.engines.get(id);
-      if (engine !== undefined) engine.slowUntil = 0;
+      if (engine !== undefined) engine.pausedUntil = 0;
       this.refresh(id);
       id = this.pauses.peek();
     }
@@ -121,10 +123,10 @@
     const state = engine;
     switch (observed.type) {
       case 'load':
-        this.memory.report(observed.engine, observed.load.usedPieces);
+        this.memory.applyLoadReport(observed.engine, observed.load.usedPieces);
         break;
       case 'token_interval':
-        state.speed.observeInterval(observed.meanMs, observed.streams);
+        state.speed.observeTokenInterval(observed.meanMs, observed.streams);
         break;
       case 'prefill_done': {
         // The reported time includes queueing behind other prefills, which is not engine speed.
@@ -132,7 +134,7 @@
         state.speed.observePrefill(observed.tokens - observed.cachedTokens, busyMs);
         state.busySince = now;
         observed.prefixes.forEach((prefix) =>
-          this.cache.stored(observed.engine, prefix.digest, now),
+          this.cache.recordStored(observed.engine, prefix.digest, now),
         );
         break;
       }
@@ -142,12 +144,13 @@
         break;
       case 'recovered':
         state.down = false;
-        state.slowUntil = 0;
+        state.pausedUntil = 0;
         this.pauses.delete(observed.engine);
         break;
       case 'cache':
-        if (observed.change === 'stored') this.cache.stored(observed.engine, observed.digest, now);
-        else this.cache.evicted(observed.engine, observed.digest);
+        if (observed.change === 'stored')
+          this.cache.recordStored(observed.engine, observed.digest, now);
+        else this.cache.recordEvicted(observed.engine, observed.digest);
         break;
       default:
         observed satisfies never;
@@ -160,12 +163,12 @@
    */
   private pause(engine: EngineState, now: Millis): void {
     const paused = engine;
-    paused.slowUntil = now + SLOW_PAUSE_MS;
-    this.pauses.set(engine.cfg.id, paused.slowUntil);
+    paused.pausedUntil = now + SLOW_PAUSE_MS;
+    this.pauses.set(engine.cfg.id, paused.pausedUntil);
   }
 
   private put(cfg: EngineConfig): void {
-    const engine = this.engines.get(cfg.id) ?? newEngineState(cfg);
+    const engine = this.engines.get(cfg.id) ?? createEngineState(cfg);
     engine.cfg = cfg;
     this.engines.set(cfg.id, engine);
     this.memory.open(cfg.id, cfg.role === 'decode' ? cfg.memoryPieces : 0);
@@ -178,6 +181,6 @@
     this.decode.remove(id);
     this.prefill.remove(id);
     this.memory.close(id);
-    this.links.close(id);
+    this.links.remove(id);
   }
 }
--- a/packages/decisions/src/place/PrefillBoard.ts
+++ b/packages/decisions/src/place/PrefillBalancer.ts
@@ -1,8 +1,8 @@
 import type { Millis, Tokens, UpstreamId, WorkClass } from '@camphorvane/core';
 import type { WorkItem } from '../PoolScheduler.ts';
 import { IndexedHeap } from '../structures/IndexedHeap.ts';
-import type { CacheExpectation } from './CacheExpectation.ts';
-import { type EngineState, takesWork } from './EngineState.ts';
+import type { PrefixCacheIndex } from './PrefixCacheIndex.ts';
+import { type EngineState, isAvailable } from './EngineState.ts';
 
 /** Maximum number of engines examined per request, besides those with an expected cache hit. */
 const MAX_CANDIDATES = 4;
@@ -26,22 +26,22 @@
 }
 
 /** Shortest-backlog selection of prefill engines, aware of their prefix caches. */
-export class PrefillBoard {
+export class PrefillBalancer {
   private readonly byLookupBacklog = new IndexedHeap<UpstreamId>();
 
   private readonly byBacklog = new IndexedHeap<UpstreamId>();
 
   private readonly engines = new Map<UpstreamId, EngineState>();
 
-  constructor(private readonly cache: CacheExpectation) {}
+  constructor(private readonly cache: PrefixCacheIndex) {}
 
   /** Gets the number of engines that accept new work. */
-  get size(): number {
+  get availableCount(): number {
     return this.byBacklog.size;
   }
 
   /** Tells whether a list contains every prefill engine of the pool, whether up or down. */
-  areAllIn(ids: readonly UpstreamId[]): boolean {
+  areAllExcluded(ids: readonly UpstreamId[]): boolean {
     if (ids.length === 0) return false;
     return [...this.engines.values()].every(
       ({ cfg }) => cfg.role !== 'prefill' || ids.includes(cfg.id),
@@ -52,7 +52,7 @@
   refresh(engine: EngineState): void {
     const { id, role } = engine.cfg;
     this.engines.set(id, engine);
-    if (!takesWork(engine) || role !== 'prefill') {
+    if (!isAvailable(engine) || role !== 'prefill') {
       this.byLookupBacklog.delete(id);
       this.byBacklog.delete(id);
       return;
@@ -84,7 +84,9 @@
     const isUsable = (id: UpstreamId): boolean =>
       !item.avoid.includes(id) && this.hasRoom(this.engines.get(id), item.class);
     const least = index.find(isUsable, MAX_CANDIDATES);
-    const cached = this.cache.expect(item.prefixes, now).filter((hit) => isUsable(hit.engine));
+    const cached = this.cache
+      .getExpectedHits(item.prefixes, now)
+      .filter((hit) => isUsable(hit.engine));
     const cachedTokens = new Map(cached.map((hit) => [hit.engine, hit.tokens]));
     const ids = least === undefined ? [...cachedTokens.keys()] : [least, ...cachedTokens.keys()];
     return ids
@@ -103,12 +105,12 @@
    * @param now - Present time.
    * @returns Milliseconds; 0 if the engine's speed is not known.
    */
-  getLeastMs(item: WorkItem, now: Millis): Millis {
+  getMinPrefillMs(item: WorkItem, now: Millis): Millis {
     const id = this.byBacklog.peek();
     const rate = id === undefined ? undefined : this.engines.get(id)?.speed.getPrefillRate();
     if (rate === undefined) return 0;
     const cached = this.cache
-      .expect(item.prefixes, now)
+      .getExpectedHits(item.prefixes, now)
       .reduce((most, hit) => Math.max(most, hit.tokens), 0);
     return Math.max(0, item.promptTokens - cached) / rate;
   }
@@ -128,11 +130,11 @@
   }
 
   private hasRoom(engine: EngineState | undefined, workClass: WorkClass): boolean {
-    if (engine === undefined || !takesWork(engine) || engine.cfg.role !== 'prefill') return false;
+    if (engine === undefined || !isAvailable(engine) || engine.cfg.role !== 'prefill') return false;
     const [count, backlog] =
       workClass === 'lookup'
-        ? [engine.lookupPrefills, engine.lookupBacklog]
-        : [engine.prefills, engine.backlog];
+        ? [engine.inFlightLookupPrefills, engine.lookupBacklog]
+        : [engine.inFlightPrefills, engine.backlog];
     const rate = engine.speed.getPrefillRate();
     if (count === 0) return true;
     if (rate === undefined) return count < MAX_PREFILLS_AT_UNKNOWN_SPEED;
--- a/packages/decisions/src/place/CacheExpectation.ts
+++ b/packages/decisions/src/place/PrefixCacheIndex.ts
@@ -30,7 +30,7 @@
  * trusts an old event sends the request to a busy engine for a hit that is no longer there. A store
  * event or a finished prefill resets the age; an eviction event removes the engine.
  */
-export class CacheExpectation {
+export class PrefixCacheIndex {
   /** In order of the last store, so that the oldest prefix can be dropped in constant time. */
   private readonly enginesByPrefix = new Map<string, ReadonlyMap<UpstreamId, Millis>>();
 
@@ -40,7 +40,7 @@
   }
 
   /** Records that an engine holds a prefix. */
-  stored(engine: UpstreamId, digest: string, now: Millis): void {
+  recordStored(engine: UpstreamId, digest: string, now: Millis): void {
     const kept = [...(this.enginesByPrefix.get(digest) ?? [])]
       .filter(([id]) => id !== engine)
       .slice(-(ENGINES_PER_PREFIX - 1));
@@ -52,7 +52,7 @@
   }
 
   /** Records that an engine no longer holds a prefix. */
-  evicted(engine: UpstreamId, digest: string): void {
+  recordEvicted(engine: UpstreamId, digest: string): void {
     const engines = this.enginesByPrefix.get(digest);
     if (engines === undefined || !engines.has(engine)) return;
     const kept = [...engines].filter(([id]) => id !== engine);
@@ -67,7 +67,7 @@
    * @param now - Present time.
    * @returns One entry per engine, for the prefix with the most expected tokens.
    */
-  expect(prefixes: readonly PromptPrefix[], now: Millis): readonly ExpectedHit[] {
+  getExpectedHits(prefixes: readonly PromptPrefix[], now: Millis): readonly ExpectedHit[] {
     const best = new Map<UpstreamId, Tokens>();
     prefixes.forEach((prefix) => {
       this.enginesByPrefix.get(prefix.digest)?.forEach((storedAt, engine) => {
--- a/packages/decisions/src/queue/FairQueue.ts
+++ b/packages/decisions/src/queue/FairQueue.ts
@@ -59,7 +59,7 @@
   }
 
   /** Gets the number of teams whose state is kept. */
-  get knownTeams(): number {
+  get trackedTeams(): number {
     return this.teams.size;
   }
 
--- a/packages/decisions/src/queue/CallerAges.ts
+++ b/packages/decisions/src/queue/RequestAgeEstimator.ts
@@ -22,7 +22,7 @@
  * Under overload a refused caller comes back with what looks like a new request. Treated as one, it would
  * be queued before requests that can still be on time, although its own answer is late in any case.
  */
-export class CallerAges {
+export class RequestAgeEstimator {
   private readonly windows = new Map<string, TimeLeftWindow>();
 
   /**
@@ -33,7 +33,7 @@
    * @param now - Present time.
    * @returns Milliseconds since the caller first sent the request; 0 for what seems to be a first try.
    */
-  note(route: string, leftMs: Millis, now: Millis): Millis {
+  estimate(route: string, leftMs: Millis, now: Millis): Millis {
     const current = this.windowAt(route, now);
     const updated = { ...current, longestMs: Math.max(current.longestMs, leftMs) };
     this.windows.set(route, updated);
--- a/packages/decisions/src/queue/leftToLookups.ts
+++ b/packages/decisions/src/queue/lookupHeadroom.ts
@@ -19,7 +19,7 @@
  * @param now - Present time.
  * @returns A fraction from 0 to 1; 0 for all classes but summaries.
  */
-export function getLeftToLookups(work: QueuedWork, now: Millis): number {
+export function getLookupHeadroom(work: QueuedWork, now: Millis): number {
   if (work.item.class !== 'summary') return 0;
   const waitedFraction = Math.min(1, (now - work.submittedAt) / work.item.maxWaitMs);
   return INITIAL_HEADROOM + (FINAL_HEADROOM - INITIAL_HEADROOM) * waitedFraction;
--- a/packages/decisions/src/rates/CountedRates.ts
+++ b/packages/decisions/src/rates/DistributedRateLimiter.ts
@@ -1,7 +1,7 @@
 import type { HostId, Incarnation, Millis, TeamId, TeamRate, Tokens } from '@camphorvane/core';
-import { gossipPace } from '../local/gossipPace.ts';
-import { UNKNOWN_PEER } from './ratePeers.ts';
-import type { CrowdReport, RatePeer } from './ratePeers.ts';
+import { gossipTimings } from '../local/gossipTimings.ts';
+import { UNKNOWN_PEER } from './peerCharges.ts';
+import type { RelayDigest, PeerCharges } from './peerCharges.ts';
 
 /** Tolerance by which all hosts together may exceed a team's rate. */
 export interface RateTolerance {
@@ -51,7 +51,7 @@
  * assumed to use an equal share of the rate and of the burst, and it uses no more, since it hears
  * nobody either. So hosts that lost contact can't exceed a rate together, whatever the store does.
  */
-export class CountedRates {
+export class DistributedRateLimiter {
   private readonly tolerance: RateTolerance;
 
   private readonly buckets = new Map<TeamId, Bucket>();
@@ -63,7 +63,7 @@
   private readonly nextRetryAt = new Map<TeamId, Millis>();
 
   /** Charges of all other hosts, host by host or, under relayed gossip, as two groups. */
-  private readonly peers = new Map<HostId, RatePeer>();
+  private readonly peers = new Map<HostId, PeerCharges>();
 
   private sharers: readonly HostId[] = [];
 
@@ -75,7 +75,7 @@
   }
 
   /** Applies changed rates; a team without a rate is not limited. */
-  reshape(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
+  reconfigure(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
     this.advance(now);
     [...this.buckets.keys()]
       .filter((team) => !rates.has(team))
@@ -99,7 +99,7 @@
   }
 
   /** Applies a relay's digest of all peers' charges; it replaces the peers' own reports. */
-  receiveDigest({ relay, incarnation, heard, totals }: CrowdReport, now: Millis): void {
+  receiveDigest({ relay, incarnation, heard, totals }: RelayDigest, now: Millis): void {
     this.advance(now);
     const known = this.peers.get(HEARD_GROUP);
     const source = `${relay} ${incarnation}`;
@@ -107,12 +107,19 @@
     // Totals of another relay count from another start, so their difference says nothing.
     const isContinuous = previous?.incarnation === source;
     if (previous !== undefined && isContinuous) this.reconcile(previous, totals);
-    const lastPaces = previous?.paces ?? this.equalShares(heard);
+    const lastPaces = previous?.chargeRates ?? this.equalShares(heard);
     const paces =
       previous !== undefined && isContinuous ? this.measureRates(previous, totals, now) : lastPaces;
     const hosts = Math.min(heard, this.sharers.length);
     const assumed = new Map<TeamId, Tokens>();
-    this.trackGroups({ hosts, incarnation: source, receivedAt: now, totals, paces, assumed });
+    this.trackGroups({
+      hostCount: hosts,
+      incarnation: source,
+      receivedAt: now,
+      totals,
+      chargeRates: paces,
+      assumed,
+    });
   }
 
   /**
@@ -141,11 +148,11 @@
     const paces = isContinuous ? this.measureRates(known, merged, now) : this.equalShares(1);
     const assumed = new Map<TeamId, Tokens>();
     this.peers.set(host, {
-      hosts: 1,
+      hostCount: 1,
       incarnation,
       receivedAt: now,
       totals: merged,
-      paces,
+      chargeRates: paces,
       assumed,
     });
   }
@@ -237,15 +244,15 @@
   }
 
   /** Tracks the peers that the relay hears as one group, and the rest as a silent one. */
-  private trackGroups(heard: RatePeer): void {
-    const hosts = Math.min(heard.hosts, this.sharers.length);
+  private trackGroups(heard: PeerCharges): void {
+    const hosts = Math.min(heard.hostCount, this.sharers.length);
     this.peers.clear();
-    this.peers.set(HEARD_GROUP, { ...heard, hosts });
-    this.peers.set(SILENT_GROUP, { ...UNKNOWN_PEER, hosts: this.sharers.length - hosts });
+    this.peers.set(HEARD_GROUP, { ...heard, hostCount: hosts });
+    this.peers.set(SILENT_GROUP, { ...UNKNOWN_PEER, hostCount: this.sharers.length - hosts });
   }
 
-  private extrapolate(host: HostId, peer: RatePeer, elapsedMs: Millis, now: Millis): void {
-    const paces = this.isSilent(peer, now) ? this.equalShares(peer.hosts) : peer.paces;
+  private extrapolate(host: HostId, peer: PeerCharges, elapsedMs: Millis, now: Millis): void {
+    const paces = this.isSilent(peer, now) ? this.equalShares(peer.hostCount) : peer.chargeRates;
     const expected = [...paces].map(([team, perMs]) => [team, perMs * elapsedMs] as const);
     expected.forEach(([team, tokens]) => this.deduct(team, tokens));
     const assumed = expected.map(
@@ -255,7 +262,7 @@
   }
 
   /** Replaces the extrapolated charges of a peer by those that it reports. */
-  private reconcile(known: RatePeer, totals: ReadonlyMap<TeamId, Tokens>): void {
+  private reconcile(known: PeerCharges, totals: ReadonlyMap<TeamId, Tokens>): void {
     this.buckets.forEach((_, team) => {
       const charged = (totals.get(team) ?? 0) - (known.totals.get(team) ?? 0);
       this.deduct(team, charged - (known.assumed.get(team) ?? 0));
@@ -277,7 +284,7 @@
 
   /** Gets the moving average of a peer's charge rates, updated by its new totals. */
   private measureRates(
-    known: RatePeer,
+    known: PeerCharges,
     totals: ReadonlyMap<TeamId, Tokens>,
     now: Millis,
   ): ReadonlyMap<TeamId, number> {
@@ -287,7 +294,7 @@
     return new Map(
       teams.map((team) => {
         const charged = (totals.get(team) ?? 0) - (known.totals.get(team) ?? 0);
-        const mean = known.paces.get(team) ?? 0;
+        const mean = known.chargeRates.get(team) ?? 0;
         return [team, mean + (Math.max(0, charged) / elapsedMs - mean) * weight];
       }),
     );
@@ -301,12 +308,12 @@
   private countSilent(now: Millis): number {
     return [...this.peers.values()]
       .filter((peer) => this.isSilent(peer, now))
-      .reduce((sum, peer) => sum + peer.hosts, 0);
+      .reduce((sum, peer) => sum + peer.hostCount, 0);
   }
 
   /** Tells whether a peer is silent; the timeout allows for two lost gossip messages. */
-  private isSilent({ receivedAt }: RatePeer, now: Millis): boolean {
-    const { silentMs } = gossipPace(this.hostCount());
+  private isSilent({ receivedAt }: PeerCharges, now: Millis): boolean {
+    const { silentMs } = gossipTimings(this.hostCount());
     return receivedAt === undefined || now - receivedAt > silentMs;
   }
 
--- a/packages/decisions/src/rates/ratePeers.ts
+++ b/packages/decisions/src/rates/peerCharges.ts
@@ -1,7 +1,7 @@
 import type { HostId, Incarnation, Millis, TeamId, Tokens } from '@camphorvane/core';
 
 /** A relay's digest of the charges of all peers that it hears. */
-export interface CrowdReport {
+export interface RelayDigest {
   /** The host that relays gossip. */
   readonly relay: HostId;
   readonly incarnation: Incarnation;
@@ -12,9 +12,9 @@
 }
 
 /** Charges of one peer, or of a group of peers together, as far as this host knows. */
-export interface RatePeer {
+export interface PeerCharges {
   /** Number of hosts in the group; 1 for a single peer. */
-  readonly hosts: number;
+  readonly hostCount: number;
   /** Start from which the totals count; undefined if none were received. */
   readonly incarnation: Incarnation | undefined;
   /** Time of the last report; undefined if there was none. */
@@ -22,17 +22,17 @@
   /** Tokens charged to each team, as last reported. */
   readonly totals: ReadonlyMap<TeamId, Tokens>;
   /** Recent rate of charges to each team, in tokens a millisecond. */
-  readonly paces: ReadonlyMap<TeamId, number>;
+  readonly chargeRates: ReadonlyMap<TeamId, number>;
   /** Extrapolated charges that were deducted from the buckets since the last report. */
   readonly assumed: ReadonlyMap<TeamId, Tokens>;
 }
 
 /** A peer without a report. */
-export const UNKNOWN_PEER: RatePeer = {
-  hosts: 1,
+export const UNKNOWN_PEER: PeerCharges = {
+  hostCount: 1,
   incarnation: undefined,
   receivedAt: undefined,
   totals: new Map(),
-  paces: new Map(),
+  chargeRates: new Map(),
   assumed: new Map(),
 };
--- a/packages/decisions/src/retry/CrashSuspicion.ts
+++ b/packages/decisions/src/retry/CrashSuspects.ts
@@ -9,14 +9,14 @@
   readonly ageMs: Millis;
 }
 
-/** Limits of a {@link CrashSuspicion}. */
-export interface CrashSuspicionOptions {
+/** Limits of a {@link CrashSuspects}. */
+export interface CrashSuspectsOptions {
   /** Distinct upstreams that must have crashed before a request is blocked. */
-  readonly crashes: number;
+  readonly minUpstreams: number;
   /** Milliseconds after which a crash no longer counts. */
-  readonly memoryMs: Millis;
+  readonly retentionMs: Millis;
   /** Most digests kept; the one whose last crash report is oldest is evicted first. */
-  readonly most: number;
+  readonly maxDigests: number;
 }
 
 /**
@@ -24,10 +24,10 @@
  * Ten minutes outlast a caller's usual retries, and the block ends once engines have been repaired.
  * The number of digests keeps the memory under a megabyte.
  */
-export const DEFAULT_CRASH_SUSPICION: CrashSuspicionOptions = {
-  crashes: 2,
-  memoryMs: 600_000,
-  most: 5_000,
+export const DEFAULT_CRASH_SUSPECTS: CrashSuspectsOptions = {
+  minUpstreams: 2,
+  retentionMs: 600_000,
+  maxDigests: 5_000,
 };
 
 /**
@@ -38,15 +38,15 @@
  * their content, since each retry by a caller has a new id. Requests that merely ran on the same engine
  * are suspected as well, so a complete answer clears a request and every record expires.
  */
-export class CrashSuspicion {
+export class CrashSuspects {
   /** Time of the last crash of each upstream by digest, in order of the last report of the digest. */
   private readonly crashes = new Map<string, ReadonlyMap<UpstreamId, Millis>>();
 
-  private readonly opts: CrashSuspicionOptions;
+  private readonly opts: CrashSuspectsOptions;
 
   /** @param opts - Limits; those left out have their defaults. */
-  constructor(opts: Partial<CrashSuspicionOptions> = {}) {
-    this.opts = { ...DEFAULT_CRASH_SUSPICION, ...opts };
+  constructor(opts: Partial<CrashSuspectsOptions> = {}) {
+    this.opts = { ...DEFAULT_CRASH_SUSPECTS, ...opts };
   }
 
   /** Gets the number of digests kept. */
@@ -55,14 +55,14 @@
   }
 
   /** Records a crash that this host or a peer detected; a repeated report counts once. */
-  observe(report: CrashReport, now: Millis): void {
+  recordCrash(report: CrashReport, now: Millis): void {
     const crashedAt = now - report.ageMs;
-    if (report.ageMs >= this.opts.memoryMs) return;
+    if (report.ageMs >= this.opts.retentionMs) return;
     const known = new Map(this.getRecent(report.digest, now));
     known.set(report.upstream, Math.max(crashedAt, known.get(report.upstream) ?? -Infinity));
     this.crashes.delete(report.digest);
     this.crashes.set(report.digest, known);
-    if (this.crashes.size <= this.opts.most) return;
+    if (this.crashes.size <= this.opts.maxDigests) return;
     const oldest = this.crashes.keys().next();
     if (!oldest.done) this.crashes.delete(oldest.value);
   }
@@ -79,10 +79,10 @@
    * @param now - Present time.
    * @returns Milliseconds, for the refusal's retry-after; undefined if the request may run.
    */
-  getHeldBackMs(digest: string, now: Millis): Millis | undefined {
+  getBlockedMs(digest: string, now: Millis): Millis | undefined {
     const newestFirst = [...this.getRecent(digest, now).values()].sort((a, b) => b - a);
-    const decisive = newestFirst[this.opts.crashes - 1];
-    return decisive === undefined ? undefined : decisive + this.opts.memoryMs - now;
+    const decisive = newestFirst[this.opts.minUpstreams - 1];
+    return decisive === undefined ? undefined : decisive + this.opts.retentionMs - now;
   }
 
   /** Gets all recorded crashes, to be sent to a host that joins the group. */
@@ -98,7 +98,7 @@
 
   private getRecent(digest: string, now: Millis): ReadonlyMap<UpstreamId, Millis> {
     const all = [...(this.crashes.get(digest) ?? [])];
-    const recent = all.filter(([, at]) => now - at < this.opts.memoryMs);
+    const recent = all.filter(([, at]) => now - at < this.opts.retentionMs);
     if (recent.length === 0) this.crashes.delete(digest);
     return new Map(recent);
   }
--- a/packages/decisions/src/retry/LevelStore.ts
+++ b/packages/decisions/src/retry/KeyedTokenBuckets.ts
@@ -11,10 +11,10 @@
 }
 
 /** Token buckets by key that share one refill rate and capacity; full buckets take no memory. */
-export class LevelStore<Key> {
+export class KeyedTokenBuckets<Key> {
   private readonly buckets = new Map<Key, Bucket>();
 
-  constructor(private readonly opts: { readonly perSecond: number; readonly most: number }) {}
+  constructor(private readonly opts: { readonly perSecond: number; readonly capacity: number }) {}
 
   /** Gets the number of buckets kept: those below capacity when they were last checked. */
   get size(): number {
@@ -23,7 +23,7 @@
 
   /** Gets the present level of a key's bucket. */
   get(key: Key, now: Millis): number {
-    const { most, perSecond } = this.opts;
+    const { capacity: most, perSecond } = this.opts;
     const bucket = this.buckets.get(key);
     if (bucket === undefined) return most;
     return Math.min(most, bucket.level + ((now - bucket.updatedAt) * perSecond) / MS_PER_SECOND);
@@ -33,7 +33,7 @@
   add(key: Key, tokens: number, now: Millis): void {
     const level = this.get(key, now) + tokens;
     this.buckets.delete(key);
-    if (level < this.opts.most) this.buckets.set(key, { level, updatedAt: now });
+    if (level < this.opts.capacity) this.buckets.set(key, { level, updatedAt: now });
     this.sweep(now);
   }
 
@@ -42,7 +42,8 @@
     const oldest = this.buckets.keys();
     const keys = Array.from({ length: SWEEP_BATCH }, () => oldest.next());
     keys.forEach((key) => {
-      if (!key.done && this.get(key.value, now) >= this.opts.most) this.buckets.delete(key.value);
+      if (!key.done && this.get(key.value, now) >= this.opts.capacity)
+        this.buckets.delete(key.value);
     });
   }
 }
--- a/packages/decisions/src/retry/ResumePlan.ts
+++ b/packages/decisions/src/retry/ResumePlan.ts
@@ -10,24 +10,24 @@
 }
 
 /** A stream of tokens that was interrupted before its end. */
-export interface BrokenStream {
+export interface InterruptedStream {
   readonly idempotent: boolean;
   readonly promptTokens: Tokens;
   /** Tokens delivered to the caller, which is the position to resume at. */
   readonly deliveredTokens: Tokens;
   readonly maxOutputTokens: Tokens;
   /** Longest time from now until the next token, in milliseconds. */
-  readonly patienceMs: Millis;
+  readonly maxPauseMs: Millis;
   /** KV cache of the prompt and all delivered tokens, if an engine still holds it. */
   readonly kv: ExportedKv | undefined;
 }
 
 /** State of the pool and of the retry budget that a plan depends on. */
-export interface ResumeMeans {
+export interface ResumeContext {
   /** Milliseconds until a prefill engine can start. */
   readonly prefillWaitMs: Millis;
   /** Prefill throughput, in tokens a millisecond. */
-  readonly prefillRate: number;
+  readonly prefillTokensPerMs: number;
   /** Milliseconds to transfer a prefill's result to a decode engine. */
   readonly transferMs: Millis;
   /** Charges the retry budgets and gets whether they allow a retry; called only if one is needed. */
@@ -66,15 +66,19 @@
  * @param now - Present time.
  * @returns How the stream is resumed, or why it ends.
  */
-export function planResume(stream: BrokenStream, context: ResumeMeans, now: Millis): ResumePlan {
+export function planResume(
+  stream: InterruptedStream,
+  context: ResumeContext,
+  now: Millis,
+): ResumePlan {
   if (!stream.idempotent) return { type: 'end', reason: 'not_idempotent' };
   const fromPosition = stream.deliveredTokens;
   if (fromPosition >= stream.maxOutputTokens) return { type: 'end', reason: 'complete' };
   const { kv } = stream;
   const tokens = stream.promptTokens + fromPosition;
-  const resumeMs = context.prefillWaitMs + tokens / context.prefillRate + context.transferMs;
-  const canImportKv = kv !== undefined && canImport(kv, stream.patienceMs, now);
-  if (!canImportKv && resumeMs > stream.patienceMs) return { type: 'end', reason: 'too_late' };
+  const resumeMs = context.prefillWaitMs + tokens / context.prefillTokensPerMs + context.transferMs;
+  const canImportKv = kv !== undefined && canImport(kv, stream.maxPauseMs, now);
+  if (!canImportKv && resumeMs > stream.maxPauseMs) return { type: 'end', reason: 'too_late' };
   if (!context.mayRetry()) return { type: 'end', reason: 'budget_spent' };
   return canImportKv
     ? { type: 'import_kv', source: kv.engine, fromPosition }
--- a/packages/decisions/src/retry/RetryBudget.ts
+++ b/packages/decisions/src/retry/RetryBudget.ts
@@ -1,5 +1,5 @@
 import type { Millis, TeamId, UpstreamId } from '@camphorvane/core';
-import { LevelStore } from './LevelStore.ts';
+import { KeyedTokenBuckets } from './KeyedTokenBuckets.ts';
 
 /** Limits of a {@link RetryBudget}. */
 export interface RetryBudgetOptions {
@@ -8,7 +8,7 @@
   /** Retries earned each second even without traffic, so that a team with few calls has some. */
   readonly perSecond: number;
   /** Most retries that can accumulate. */
-  readonly most: number;
+  readonly capacity: number;
 }
 
 /**
@@ -18,7 +18,7 @@
 export const DEFAULT_RETRY_BUDGET: RetryBudgetOptions = {
   perAttempt: 0.1,
   perSecond: 0.5,
-  most: 20,
+  capacity: 20,
 };
 
 /**
@@ -31,21 +31,21 @@
  * upstream does not flood the healthy ones.
  */
 export class RetryBudget {
-  private readonly teams: LevelStore<TeamId>;
+  private readonly teams: KeyedTokenBuckets<TeamId>;
 
-  private readonly upstreams: LevelStore<UpstreamId>;
+  private readonly upstreams: KeyedTokenBuckets<UpstreamId>;
 
   private readonly opts: RetryBudgetOptions;
 
   /** @param opts - Limits; those left out have their defaults. */
   constructor(opts: Partial<RetryBudgetOptions> = {}) {
     this.opts = { ...DEFAULT_RETRY_BUDGET, ...opts };
-    this.teams = new LevelStore(this.opts);
-    this.upstreams = new LevelStore(this.opts);
+    this.teams = new KeyedTokenBuckets(this.opts);
+    this.upstreams = new KeyedTokenBuckets(this.opts);
   }
 
   /** Records a first attempt, which earns part of a retry. */
-  attempted(team: TeamId, upstream: UpstreamId, now: Millis): void {
+  recordAttempt(team: TeamId, upstream: UpstreamId, now: Millis): void {
     this.teams.add(team, this.opts.perAttempt, now);
     this.upstreams.add(upstream, this.opts.perAttempt, now);
   }
--- a/packages/decisions/src/retry/RepeatBudget.ts
+++ b/packages/decisions/src/retry/ServiceRetryBudget.ts
@@ -1,8 +1,8 @@
 import type { Millis, ServiceId } from '@camphorvane/core';
-import { WindowCount } from './WindowCount.ts';
+import { SlidingWindowCounter } from './SlidingWindowCounter.ts';
 
 /** Retries that all hosts together may send to a service. */
-export interface RepeatAllowance {
+export interface RetryAllowance {
   /** Retries allowed for each request. */
   readonly ratio: number;
   /** Retries allowed beyond that in any window. */
@@ -15,8 +15,8 @@
 const USED_FRACTION = 0.85;
 
 interface Counts {
-  readonly requests: WindowCount;
-  readonly retries: WindowCount;
+  readonly requests: SlidingWindowCounter;
+  readonly retries: SlidingWindowCounter;
 }
 
 /**
@@ -28,8 +28,8 @@
  * allowance's own window, so that all retries of a window may be sent at once: a server that crashes
  * fails all its requests, on all hosts, at the same moment.
  */
-export class RepeatBudget {
-  private readonly allowance: RepeatAllowance;
+export class ServiceRetryBudget {
+  private readonly allowance: RetryAllowance;
 
   private readonly hostCount: () => number;
 
@@ -39,18 +39,18 @@
    * @param allowance - Retries of all hosts together.
    * @param hostCount - Gets the number of hosts that share the allowance.
    */
-  constructor(allowance: RepeatAllowance, hostCount: () => number) {
+  constructor(allowance: RetryAllowance, hostCount: () => number) {
     this.allowance = allowance;
     this.hostCount = hostCount;
   }
 
   /** Records the first attempt of a request, which earns part of a retry. */
-  attempted(service: ServiceId, now: Millis): void {
+  recordAttempt(service: ServiceId, now: Millis): void {
     this.countsOf(service).requests.add(now);
   }
 
   /** Charges one retry to a service; false if its budget is exhausted. */
-  tryRepeat(service: ServiceId, now: Millis): boolean {
+  tryRetry(service: ServiceId, now: Millis): boolean {
     const { requests, retries } = this.countsOf(service);
     const earned = requests.count(now) * this.allowance.ratio * USED_FRACTION;
     // Each host is allowed one retry in a window, even if its share is below one.
@@ -63,7 +63,10 @@
     const known = this.counts.get(service);
     if (known !== undefined) return known;
     const { windowMs } = this.allowance;
-    const counts = { requests: new WindowCount(windowMs), retries: new WindowCount(windowMs) };
+    const counts = {
+      requests: new SlidingWindowCounter(windowMs),
+      retries: new SlidingWindowCounter(windowMs),
+    };
     this.counts.set(service, counts);
     return counts;
   }
--- a/packages/decisions/src/retry/WindowCount.ts
+++ b/packages/decisions/src/retry/SlidingWindowCounter.ts
@@ -4,7 +4,7 @@
 const SLOTS_PER_WINDOW = 40;
 
 /** Counts events in a sliding time window, in memory that does not grow with their number. */
-export class WindowCount {
+export class SlidingWindowCounter {
   private readonly slotMs: Millis;
 
   private readonly slots = new Map<number, number>();
--- a/packages/decisions/src/shift/DemandHistory.ts
+++ b/packages/decisions/src/roles/DemandHistory.ts
@@ -23,7 +23,7 @@
  * Width of a demand bucket: about the prefill time of two prompts, so that the requests of one burst
  * load the engines at the same time.
  */
-export const DEMAND_SPAN_MS: Millis = 200;
+export const DEMAND_BUCKET_MS: Millis = 200;
 
 /** Length of the history; it covers several bursts and the intervals between them. */
 const HISTORY_MS: Millis = 30_000;
@@ -63,7 +63,7 @@
   }
 
   /** Sets the baseline of a source to zero, unless it has reported before. */
-  expect(source: string, incarnation: Incarnation): void {
+  startAtZero(source: string, incarnation: Incarnation): void {
     if (!this.totals.has(source)) this.totals.set(source, { incarnation, total: NO_DEMAND });
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Gets the buckets from the first one with recorded requests to the last complete one. */
-  getSpans(now: Millis): readonly PoolDemand[] {
+  getBuckets(now: Millis): readonly PoolDemand[] {
     const end = bucketOf(now);
     const oldest = bucketOf(now - HISTORY_MS);
     [...this.buckets.keys()]
@@ -120,5 +120,5 @@
 }
 
 function bucketOf(now: Millis): number {
-  return Math.floor(now / DEMAND_SPAN_MS);
+  return Math.floor(now / DEMAND_BUCKET_MS);
 }
--- a/packages/decisions/src/shift/DemandBook.ts
+++ b/packages/decisions/src/roles/DemandTracker.ts
@@ -1,5 +1,5 @@
 import type { Incarnation, Millis, ModelId } from '@camphorvane/core';
-import { meanMemory, memorySteps } from '../local/meanMemory.ts';
+import { meanMemoryTokens, memorySteps } from '../local/meanMemoryTokens.ts';
 import type { WorkItem } from '../PoolScheduler.ts';
 import type { PoolDemand } from './DemandHistory.ts';
 import { DemandHistory, NO_DEMAND, sumDemand } from './DemandHistory.ts';
@@ -14,7 +14,7 @@
 const ON_TIME_WEIGHT = 0.05;
 
 /** Tracks the demand on every pool, as seen by this host and reported by its peers. */
-export class DemandBook {
+export class DemandTracker {
   private readonly own = new Map<ModelId, PoolDemand>();
 
   private readonly histories = new Map<ModelId, DemandHistory>();
@@ -27,11 +27,11 @@
   private currentRelay = '';
 
   /** Records a request that arrived at this host. */
-  asked(model: ModelId, item: WorkItem, now: Millis): void {
+  recordRequest(model: ModelId, item: WorkItem, now: Millis): void {
     const total = sumDemand(this.own.get(model) ?? NO_DEMAND, {
       requests: 1,
       promptTokens: item.promptTokens,
-      memoryTokens: meanMemory(item),
+      memoryTokens: meanMemoryTokens(item),
       memorySteps: memorySteps(item),
     });
     this.own.set(model, total);
@@ -59,7 +59,7 @@
   ): void {
     totals.forEach(({ model, ...total }) => {
       const history = this.historyOf(model);
-      if (this.knownSources.has(source)) history.expect(source, incarnation);
+      if (this.knownSources.has(source)) history.startAtZero(source, incarnation);
       history.receive(source, incarnation, total, now);
     });
     this.knownSources.add(source);
@@ -87,13 +87,13 @@
   }
 
   /** Gets the demand on this host since its start, by pool, to be gossiped to its peers. */
-  getOwn(): readonly (PoolDemand & { readonly model: ModelId })[] {
+  getOwnTotals(): readonly (PoolDemand & { readonly model: ModelId })[] {
     return [...this.own].map(([model, total]) => ({ model, ...total }));
   }
 
   /** Gets the recent demand on a pool, in buckets of fixed width. */
-  getSpans(model: ModelId, now: Millis): readonly PoolDemand[] {
-    return this.histories.get(model)?.getSpans(now) ?? [];
+  getBuckets(model: ModelId, now: Millis): readonly PoolDemand[] {
+    return this.histories.get(model)?.getBuckets(now) ?? [];
   }
 
   /** Gets how long this host's requests may wait on average and still be on time, if any arrived. */
@@ -105,7 +105,7 @@
     const known = this.histories.get(model);
     if (known !== undefined) return known;
     const history = new DemandHistory();
-    history.expect(OWN_SOURCE, OWN_SOURCE);
+    history.startAtZero(OWN_SOURCE, OWN_SOURCE);
     this.histories.set(model, history);
     return history;
   }
--- a/packages/decisions/src/shift/EngineMoves.ts
+++ b/packages/decisions/src/roles/RoleChanges.ts
@@ -1,7 +1,7 @@
 import type { EngineConfig, EngineRole, Millis, UpstreamId } from '@camphorvane/core';
 
 /** A role change of an engine, as gossiped between hosts. */
-export interface EngineMove {
+export interface RoleChange {
   readonly engine: UpstreamId;
   readonly role: EngineRole;
   /** Milliseconds after which the engine counts as usable in any case; 0 revokes the change. */
@@ -25,7 +25,7 @@
  * Without this record, every host would go on sending it requests, which it would refuse for several
  * seconds after each order.
  */
-export class EngineMoves {
+export class RoleChanges {
   private readonly pending = new Map<UpstreamId, PendingChange>();
 
   /** Orders of this host that were revoked, and until when that is gossiped. */
@@ -38,7 +38,7 @@
   }
 
   /** Revokes an order that the engine did not accept. */
-  takeBack(engine: UpstreamId, now: Millis): void {
+  revoke(engine: UpstreamId, now: Millis): void {
     const change = this.pending.get(engine);
     if (change === undefined) return;
     this.pending.delete(engine);
@@ -46,7 +46,7 @@
   }
 
   /** Applies the role changes that a peer has ordered; this host's own orders take precedence. */
-  receive(changes: readonly EngineMove[], now: Millis): void {
+  receive(changes: readonly RoleChange[], now: Millis): void {
     changes.forEach(({ engine, role, leftMs }) => {
       const known = this.pending.get(engine);
       if (known?.isOwn === true) return;
@@ -56,7 +56,7 @@
   }
 
   /** Drops changes that are complete, have timed out, or whose engine has left the pool. */
-  settle(engines: readonly EngineConfig[], now: Millis): void {
+  prune(engines: readonly EngineConfig[], now: Millis): void {
     const roles = new Map(engines.map(({ id, role }) => [id, role]));
     [...this.pending]
       .filter(([id, { role, until }]) => until <= now || (roles.get(id) ?? role) === role)
@@ -67,13 +67,13 @@
   }
 
   /** Gets the role that an engine is changing to; undefined if it is not changing. */
-  roleOf(engine: UpstreamId, now: Millis): EngineRole | undefined {
+  getTargetRole(engine: UpstreamId, now: Millis): EngineRole | undefined {
     const change = this.pending.get(engine);
     return change === undefined || change.until <= now ? undefined : change.role;
   }
 
   /** Gets the orders of this host, pending and revoked, to be gossiped to its peers. */
-  getOwn(now: Millis): readonly EngineMove[] {
+  getOwnChanges(now: Millis): readonly RoleChange[] {
     const pending = [...this.pending]
       .filter(([, { isOwn, until }]) => isOwn && until > now)
       .map(([engine, { role, until }]) => ({ engine, role, leftMs: until - now }));
--- a/packages/decisions/src/shift/RoleShifter.ts
+++ b/packages/decisions/src/roles/RoleRebalancer.ts
@@ -1,10 +1,10 @@
 import type { EngineRole, Millis, UpstreamId, ZoneId } from '@camphorvane/core';
-import type { RoleSplit, SplitGrounds } from './RoleSplit.ts';
-import { bestSplit, expectedLate } from './RoleSplit.ts';
-import { DEMAND_SPAN_MS } from './DemandHistory.ts';
+import type { RoleSplit, SplitInputs } from './RoleSplit.ts';
+import { findBestSplit, getExpectedLateShare } from './RoleSplit.ts';
+import { DEMAND_BUCKET_MS } from './DemandHistory.ts';
 
 /** State of an engine that role decisions depend on. */
-export interface ShiftableEngine {
+export interface EngineRoleState {
   readonly id: UpstreamId;
   readonly zone: ZoneId;
   /** Its role; its target role while it is changing. */
@@ -18,12 +18,12 @@
 
 /** Forecast that a decision is based on. */
 export interface RoleForecast {
-  readonly present: RoleSplit;
-  readonly wanted: RoleSplit;
+  readonly current: RoleSplit;
+  readonly target: RoleSplit;
   /** Share of requests expected to be late with the current split, from 0 to 1. */
-  readonly lateNow: number;
+  readonly currentLateShare: number;
   /** Share of requests expected to be late with the target split, from 0 to 1. */
-  readonly lateThen: number;
+  readonly targetLateShare: number;
   /** Number of recorded requests that the forecast replays. */
   readonly requests: number;
 }
@@ -43,10 +43,10 @@
     };
 
 /** Snapshot of a pool from which its roles are decided. */
-export interface RoleView extends SplitGrounds {
-  readonly engines: readonly ShiftableEngine[];
+export interface RoleView extends SplitInputs {
+  readonly engines: readonly EngineRoleState[];
   /** Time for which an engine serves nothing while it changes its role. */
-  readonly switchMs: Millis;
+  readonly roleSwitchMs: Millis;
   /** Delay before this host acts, so that hosts of a higher rank act first. */
   readonly holdBackMs: Millis;
 }
@@ -93,7 +93,7 @@
  * move takes an engine out of service for seconds; must leave each role at least one engine; and
  * must not rely on too little recorded demand.
  */
-export class RoleShifter {
+export class RoleRebalancer {
   private targetRole: EngineRole | undefined;
 
   private targetSince: Millis = 0;
@@ -111,20 +111,20 @@
    */
   decide(view: RoleView, now: Millis): RoleDecision {
     this.trackMembership(view.engines, now);
-    const requests = view.spans.reduce((sum, bucket) => sum + bucket.requests, 0);
-    if (requests < MIN_REQUESTS || view.spans.length * DEMAND_SPAN_MS < MIN_DEMAND_MS) {
+    const requests = view.buckets.reduce((sum, bucket) => sum + bucket.requests, 0);
+    if (requests < MIN_REQUESTS || view.buckets.length * DEMAND_BUCKET_MS < MIN_DEMAND_MS) {
       return this.stay('little_demand');
     }
     if (view.engines.some((engine) => engine.isChanging)) return this.stay('moving');
     if (now - this.membershipChangedAt < SETTLE_MS) return this.stay('engines_changed');
     const forecast = makeForecast(view, requests);
-    const change = forecast.wanted.prefillEngines - forecast.present.prefillEngines;
+    const change = forecast.target.prefillEngines - forecast.current.prefillEngines;
     if (change === 0 || !isWorthwhile(view, forecast)) return this.stay('balanced', forecast);
     return this.moveIfConfirmed(view, forecast, now);
   }
 
   private moveIfConfirmed(view: RoleView, forecast: RoleForecast, now: Millis): RoleDecision {
-    const { present, wanted } = forecast;
+    const { current: present, target: wanted } = forecast;
     const role = wanted.prefillEngines > present.prefillEngines ? 'prefill' : 'decode';
     if (this.targetRole !== role) {
       this.targetRole = role;
@@ -148,7 +148,7 @@
   }
 
   /** Records when engines last joined or left the pool. */
-  private trackMembership(engines: readonly ShiftableEngine[], now: Millis): void {
+  private trackMembership(engines: readonly EngineRoleState[], now: Millis): void {
     const ids = engines
       .map(({ id }) => id)
       .sort()
@@ -162,15 +162,26 @@
   const count = (role: EngineRole): number =>
     view.engines.filter((engine) => engine.role === role).length;
   const present = { prefillEngines: count('prefill'), decodeEngines: count('decode') };
-  const wanted = bestSplit(view, present);
-  const lateNow = expectedLate(view, present);
-  return { present, wanted, lateNow, lateThen: expectedLate(view, wanted), requests };
+  const wanted = findBestSplit(view, present);
+  const lateNow = getExpectedLateShare(view, present);
+  return {
+    current: present,
+    target: wanted,
+    currentLateShare: lateNow,
+    targetLateShare: getExpectedLateShare(view, wanted),
+    requests,
+  };
 }
 
 /** Tells whether the gain of a change outweighs the capacity that is missing while it is made. */
 function isWorthwhile(
   view: RoleView,
-  { present, wanted, lateNow, lateThen }: RoleForecast,
+  {
+    current: present,
+    target: wanted,
+    currentLateShare: lateNow,
+    targetLateShare: lateThen,
+  }: RoleForecast,
 ): boolean {
   const gain = lateNow - lateThen;
   const minGain = Math.min(lateNow, 1 - lateNow) * MIN_RELATIVE_GAIN;
@@ -179,16 +190,16 @@
     prefillEngines: Math.min(present.prefillEngines, wanted.prefillEngines),
     decodeEngines: Math.min(present.decodeEngines, wanted.decodeEngines),
   };
-  const loss = Math.max(0, expectedLate(view, duringChange) - lateNow);
+  const loss = Math.max(0, getExpectedLateShare(view, duringChange) - lateNow);
   // A decode engine finishes its streams before it changes its role.
   const outageMs =
-    view.switchMs + (wanted.prefillEngines > present.prefillEngines ? DECODE_DRAIN_MS : 0);
+    view.roleSwitchMs + (wanted.prefillEngines > present.prefillEngines ? DECODE_DRAIN_MS : 0);
   return gain * PAYBACK_MS > loss * outageMs;
 }
 
 /** Selects engines to move from the zones with most engines of their role, least loaded first. */
 function selectEngines(
-  engines: readonly ShiftableEngine[],
+  engines: readonly EngineRoleState[],
   role: EngineRole,
   count: number,
 ): readonly UpstreamId[] {
--- a/packages/decisions/src/shift/RoleSplit.ts
+++ b/packages/decisions/src/roles/RoleSplit.ts
@@ -1,18 +1,18 @@
 import type { Millis, Tokens } from '@camphorvane/core';
 import type { PoolDemand } from './DemandHistory.ts';
 import { NO_DEMAND, sumDemand } from './DemandHistory.ts';
-import { forecastLate } from './forecastLate.ts';
+import { forecastLateShare } from './forecastLateShare.ts';
 
 /** Demand and engine speeds by which a split of the engines between the roles is rated. */
-export interface SplitGrounds {
+export interface SplitInputs {
   /** Recorded demand, in buckets of fixed width. */
-  readonly spans: readonly PoolDemand[];
+  readonly buckets: readonly PoolDemand[];
   /** Prompt tokens that one prefill engine processes per millisecond. */
-  readonly readPerMs: number;
+  readonly prefillTokensPerMs: number;
   /** Memory that one decode engine has for running requests. */
   readonly memoryTokens: Tokens;
   /** Time per output token. */
-  readonly tokenMs: Millis;
+  readonly tokenIntervalMs: Millis;
   /** Time for which a request may wait and still be on time. */
   readonly onTimeMs: Millis;
 }
@@ -75,7 +75,7 @@
  * @param split - Number of engines of each role.
  * @returns Share of requests, from 0 to 1.
  */
-export function expectedLate(inputs: SplitGrounds, split: RoleSplit): number {
+export function getExpectedLateShare(inputs: SplitInputs, split: RoleSplit): number {
   return ENGINE_LOSSES.reduce(
     (sum, loss) => sum + loss.weight * lateShareOf(inputs, applyLoss(split, loss)),
     0,
@@ -89,7 +89,7 @@
  * @param current - Current number of engines of each role.
  * @returns The split, with at least one engine of each role.
  */
-export function bestSplit(inputs: SplitGrounds, current: RoleSplit): RoleSplit {
+export function findBestSplit(inputs: SplitInputs, current: RoleSplit): RoleSplit {
   const total = current.prefillEngines + current.decodeEngines;
   const steps = Math.min(total, MAX_COMPARED_SPLITS);
   const compared = Array.from({ length: steps }, (_, i) => Math.round((i / steps) * total));
@@ -97,26 +97,30 @@
     .filter((prefillEngines) => prefillEngines > 0 && prefillEngines < total)
     .map((prefillEngines) => ({
       split: { prefillEngines, decodeEngines: total - prefillEngines },
-      lateShare: expectedLate(inputs, { prefillEngines, decodeEngines: total - prefillEngines }),
+      lateShare: getExpectedLateShare(inputs, {
+        prefillEngines,
+        decodeEngines: total - prefillEngines,
+      }),
       distance: Math.abs(prefillEngines - current.prefillEngines),
     }));
   const [best] = rated.sort((a, b) => a.lateShare - b.lateShare || a.distance - b.distance);
   return best?.split ?? current;
 }
 
-function lateShareOf(inputs: SplitGrounds, { prefillEngines, decodeEngines }: RoleSplit): number {
-  const { spans, onTimeMs, tokenMs } = inputs;
-  const readPerMs =
-    inputs.readPerMs * (prefillEngines > 0 ? prefillEngines : decodeEngines * DECODE_PREFILL_SPEED);
+function lateShareOf(inputs: SplitInputs, { prefillEngines, decodeEngines }: RoleSplit): number {
+  const { buckets: spans, onTimeMs, tokenIntervalMs } = inputs;
+  const prefillTokensPerMs =
+    inputs.prefillTokensPerMs *
+    (prefillEngines > 0 ? prefillEngines : decodeEngines * DECODE_PREFILL_SPEED);
   const mean = meanRequest(spans);
   const usable = Math.max(1, inputs.memoryTokens - mean.memoryTokens * UNUSED_REQUESTS_PER_ENGINE);
-  const capacity = { readPerMs, memoryTokens: usable * decodeEngines, tokenMs };
+  const capacity = { prefillTokensPerMs, memoryTokens: usable * decodeEngines, tokenIntervalMs };
   // The allowed time includes the prefill of the request's own prompt.
-  const prefillMs = mean.promptTokens / inputs.readPerMs;
+  const prefillMs = mean.promptTokens / inputs.prefillTokensPerMs;
   const maxWaitMs = Math.max(MIN_WAIT_MS, onTimeMs - prefillMs);
   return DEMAND_LEVELS.reduce(
     (sum, { factor, weight }) =>
-      sum + weight * forecastLate(spans, capacity, { onTimeMs: maxWaitMs, factor }),
+      sum + weight * forecastLateShare(spans, capacity, { onTimeMs: maxWaitMs, factor }),
     0,
   );
 }
--- a/packages/decisions/src/shift/forecastLate.ts
+++ b/packages/decisions/src/roles/forecastLateShare.ts
@@ -1,18 +1,18 @@
 import type { Millis, Tokens } from '@camphorvane/core';
 import type { PoolDemand } from './DemandHistory.ts';
-import { DEMAND_SPAN_MS, NO_DEMAND, scaleDemand, sumDemand } from './DemandHistory.ts';
+import { DEMAND_BUCKET_MS, NO_DEMAND, scaleDemand, sumDemand } from './DemandHistory.ts';
 
 /** Combined capacity of the engines of both roles. */
 export interface PoolCapacity {
   /** Prompt tokens prefilled per millisecond. */
-  readonly readPerMs: number;
+  readonly prefillTokensPerMs: number;
   /** Memory of all decode engines for running requests. */
   readonly memoryTokens: Tokens;
   /** Time per output token. */
-  readonly tokenMs: Millis;
+  readonly tokenIntervalMs: Millis;
 }
 
-/** Options of {@link forecastLate}. */
+/** Options of {@link forecastLateShare}. */
 export interface ForecastOptions {
   /** Time for which a request may wait and still be on time. */
   readonly onTimeMs: Millis;
@@ -41,19 +41,19 @@
  * would wait for longer than allowed is late and leaves the queue, since late requests yield to the
  * others and take no capacity from them at either stage.
  *
- * @param buckets - Demand in buckets of {@link DEMAND_SPAN_MS}.
+ * @param buckets - Demand in buckets of {@link DEMAND_BUCKET_MS}.
  * @param capacity - Capacity of the engines.
  * @param opts - Allowed wait and demand factor.
  * @returns Share of late requests, from 0 to 1.
  */
-export function forecastLate(
+export function forecastLateShare(
   buckets: readonly PoolDemand[],
   capacity: PoolCapacity,
   opts: ForecastOptions,
 ): number {
   const requests = buckets.reduce((sum, bucket) => sum + bucket.requests, 0);
   if (requests === 0) return 0;
-  const repeats = Math.ceil(MIN_REPLAY_MS / (buckets.length * DEMAND_SPAN_MS));
+  const repeats = Math.ceil(MIN_REPLAY_MS / (buckets.length * DEMAND_BUCKET_MS));
   const replayed = Array.from({ length: repeats }, () => buckets).flat();
   const start: ReplayState = { waiting: NO_DEMAND, running: NO_DEMAND, late: 0 };
   const end = replayed.reduce((state, bucket) => advance(state, bucket, capacity, opts), start);
@@ -63,16 +63,16 @@
 function advance(
   { waiting, running, late }: ReplayState,
   bucket: PoolDemand,
-  { readPerMs, memoryTokens, tokenMs }: PoolCapacity,
+  { prefillTokensPerMs: readPerMs, memoryTokens, tokenIntervalMs: tokenMs }: PoolCapacity,
   { onTimeMs, factor }: ForecastOptions,
 ): ReplayState {
   const queued = sumDemand(waiting, scaleDemand(bucket, factor));
-  const endedShare = Math.min(1, DEMAND_SPAN_MS / meanHoldMs(running, tokenMs));
+  const endedShare = Math.min(1, DEMAND_BUCKET_MS / meanHoldMs(running, tokenMs));
   const continuing = scaleDemand(running, 1 - endedShare);
   const free = Math.max(0, memoryTokens - continuing.memoryTokens);
   const startedShare = Math.min(
     servableShare(free, queued.memoryTokens),
-    servableShare(readPerMs * DEMAND_SPAN_MS, queued.promptTokens),
+    servableShare(readPerMs * DEMAND_BUCKET_MS, queued.promptTokens),
   );
   const nowRunning = sumDemand(continuing, scaleDemand(queued, startedShare));
   // Once all memory is in use, it is freed at the rate at which requests end.
--- a/packages/decisions/src/service/ServiceGate.ts
+++ b/packages/decisions/src/service/ServiceQueue.ts
@@ -2,7 +2,7 @@
 import { notRun, RandomSource } from '@camphorvane/core';
 
 /** A server of a plain service, with this host's limits on it. */
-export interface GateServer {
+export interface ServiceQueueServer {
   readonly id: UpstreamId;
   /** Most calls in flight from this host to the server. */
   readonly limit: number;
@@ -11,7 +11,7 @@
 }
 
 /** A call to be dispatched to a server. */
-export interface GateCall {
+export interface ServiceQueueCall {
   readonly request: RequestId;
   readonly team: TeamId;
   readonly class: WorkClass;
@@ -24,7 +24,7 @@
 }
 
 /** The decision for a queued call. */
-export type GateDecision =
+export type ServiceQueueDecision =
   | {
       readonly type: 'place';
       readonly request: RequestId;
@@ -34,7 +34,7 @@
   | { readonly type: 'refuse'; readonly request: RequestId; readonly refusal: Refusal };
 
 interface QueueEntry {
-  readonly call: GateCall;
+  readonly call: ServiceQueueCall;
   readonly queuedAt: Millis;
   readonly timeoutAt: Millis;
 }
@@ -71,7 +71,7 @@
  * servers with little concurrency delays mostly that team. A call that is late already yields to those
  * that can still be on time, and takes only capacity that none of them needs.
  */
-export class ServiceGate {
+export class ServiceQueue {
   private readonly random: RandomSource;
 
   private readonly servers = new Map<UpstreamId, ServerState>();
@@ -94,7 +94,7 @@
    * @param servers - All servers.
    * @param maxInFlight - Most calls in flight from this host to all of them together.
    */
-  reshape(servers: readonly GateServer[], maxInFlight = Infinity): void {
+  reconfigure(servers: readonly ServiceQueueServer[], maxInFlight = Infinity): void {
     this.maxInFlight = maxInFlight;
     const kept = servers.map((server): [UpstreamId, ServerState] => {
       const old = this.servers.get(server.id);
@@ -112,7 +112,7 @@
   }
 
   /** Gets the number of queued calls. */
-  get waitingCount(): number {
+  get queuedCount(): number {
     return this.queue.length;
   }
 
@@ -123,7 +123,7 @@
    * @param now - Present time.
    * @returns The refusal, or undefined if the call was queued.
    */
-  submit(call: GateCall, now: Millis): Refusal | undefined {
+  submit(call: ServiceQueueCall, now: Millis): Refusal | undefined {
     const queuedOfTeam = this.queue.filter((entry) => entry.call.team === call.team).length;
     if (this.servers.size === 0) {
       return notRun('no_capacity', 'The service has no servers.', RETRY_AFTER_MS);
@@ -141,7 +141,7 @@
   }
 
   /** Records that a call in flight has ended. */
-  ended(team: TeamId, server: UpstreamId, failed: boolean, now: Millis): void {
+  callEnded(team: TeamId, server: UpstreamId, failed: boolean, now: Millis): void {
     const state = this.servers.get(server);
     if (state !== undefined) {
       state.inFlight = Math.max(0, state.inFlight - 1);
@@ -153,10 +153,10 @@
   }
 
   /** Refuses queued calls that have timed out, places others on servers, and gets these decisions. */
-  step(now: Millis): readonly GateDecision[] {
+  step(now: Millis): readonly ServiceQueueDecision[] {
     const timedOut = this.queue.filter((entry) => entry.timeoutAt < now);
     this.queue = this.queue.filter((entry) => entry.timeoutAt >= now);
-    const refused = timedOut.map((entry): GateDecision => ({
+    const refused = timedOut.map((entry): ServiceQueueDecision => ({
       type: 'refuse',
       request: entry.call.request,
       refusal: notRun('target_missed', 'No server became free in time.', RETRY_AFTER_MS),
@@ -174,8 +174,8 @@
     return [...this.servers.values()].reduce((sum, { inFlight }) => sum + inFlight, 0);
   }
 
-  private dispatchAll(now: Millis): readonly GateDecision[] {
-    const decisions: GateDecision[] = [];
+  private dispatchAll(now: Millis): readonly ServiceQueueDecision[] {
+    const decisions: ServiceQueueDecision[] = [];
     let next = this.dispatchNext(now);
     while (next !== undefined) {
       decisions.push(next);
@@ -184,7 +184,7 @@
     return decisions;
   }
 
-  private dispatchNext(now: Millis): GateDecision | undefined {
+  private dispatchNext(now: Millis): ServiceQueueDecision | undefined {
     if (this.queue.length === 0 || this.inFlightCount >= this.maxInFlight) return undefined;
     const ordered = [...this.queue].sort((a, b) => this.compare(a, b, now));
     const choice = ordered
@@ -219,7 +219,7 @@
    * Ties are broken at random. In a large fleet, each host has no calls on most servers most of the
    * time; if all hosts took the first of the list, that server would get twice the calls of the others.
    */
-  private choose(call: GateCall, now: Millis): UpstreamId | undefined {
+  private choose(call: ServiceQueueCall, now: Millis): UpstreamId | undefined {
     const candidates = [...this.servers]
       .filter(([id, state]) => hasCapacity(state) && !call.avoid.includes(id))
       .map(([id, state]) => ({ id, state, tieBreaker: this.random.next() }))
--- a/packages/decisions/src/service/placeShare.ts
+++ b/packages/decisions/src/service/concurrencyShare.ts
@@ -1,13 +1,13 @@
 /** Capacity of a service and demand of the hosts, from which a host's share follows. */
-export interface PlaceShareView {
+export interface ConcurrencyDemand {
   /** Calls that all servers of the service run concurrently. */
-  readonly places: number;
+  readonly concurrency: number;
   /** Calls of this host that are in flight or queued. */
-  readonly own: number;
+  readonly ownCalls: number;
   /** Calls of the other hosts that are not silent. */
-  readonly others: number;
+  readonly peerCalls: number;
   /** Number of silent hosts: those without a recent gossip message. */
-  readonly unheard: number;
+  readonly silentHosts: number;
   /** Number of all hosts. */
   readonly hosts: number;
 }
@@ -23,7 +23,13 @@
  * @param view - The capacity and the calls of the hosts.
  * @returns Most calls in flight, not rounded.
  */
-export function placeShare({ places, own, others, unheard, hosts }: PlaceShareView): number {
+export function concurrencyShare({
+  concurrency: places,
+  ownCalls: own,
+  peerCalls: others,
+  silentHosts: unheard,
+  hosts,
+}: ConcurrencyDemand): number {
   const available = Math.max(0, places - (unheard * places) / hosts);
   const demand = own + others;
   if (demand <= available) return own + (available - demand) / Math.max(1, hosts - unheard);
--- a/packages/decisions/tests/FairPoolScheduler.properties.test.ts
+++ b/packages/decisions/tests/FairPoolScheduler.properties.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type WorkClass } from '@camphorvane/core';
-import type { FairPoolScheduler, PoolShape, SchedulerDecision } from '@camphorvane/decisions';
+import type {
+  FairPoolScheduler,
+  PoolSchedulerConfig,
+  SchedulerDecision,
+} from '@camphorvane/decisions';
 import fc from 'fast-check';
 import { engine, pool, scheduler, work } from './support/pool.ts';
 
@@ -96,7 +100,7 @@
 class Driver {
   now = 0;
 
-  private config: PoolShape = pool(2, 2, MEMORY_PIECES);
+  private config: PoolSchedulerConfig = pool(2, 2, MEMORY_PIECES);
 
   private readonly poolScheduler: FairPoolScheduler = scheduler(this.config);
 
@@ -132,7 +136,7 @@
 
   checkEnd(): void {
     assert.equal(this.poolScheduler.reservationCount, 0, 'reservations leaked');
-    assert.equal(this.poolScheduler.waitingCount, 0, 'requests are still queued');
+    assert.equal(this.poolScheduler.queuedCount, 0, 'requests are still queued');
     const undecided = this.submitted.filter(
       (id) => !this.decided.has(id) && !this.withdrawn.has(id),
     );
@@ -230,7 +234,7 @@
         );
         const engines = [engine('p0', 'prefill'), engine('p1', 'prefill'), ...decodeEngines];
         this.config = { ...this.config, engines };
-        poolScheduler.reshape(this.config, now);
+        poolScheduler.reconfigure(this.config, now);
         break;
       }
       default:
--- a/packages/decisions/tests/FairPoolScheduler.test.ts
+++ b/packages/decisions/tests/FairPoolScheduler.test.ts
@@ -55,7 +55,7 @@
   assert.equal(refused.request, 'lookup');
   assert.equal(refused.refusal.execution, 'not_run');
   assert.ok((refused.refusal.retryAfterMs ?? 0) > 0);
-  assert.equal(poolScheduler.waitingCount, 1);
+  assert.equal(poolScheduler.queuedCount, 1);
 });
 
 test('refuses at once a request that failed on every engine, so that it does not block its team', () => {
--- a/packages/decisions/tests/local/LocalPlacement.test.ts
+++ b/packages/decisions/tests/local/LocalPlacement.test.ts
@@ -12,13 +12,13 @@
 
 function setUp(engines: readonly EngineConfig[]): {
   readonly placement: LocalPlacement;
-  readonly inFlight: EngineKnowledge['use'];
+  readonly inFlight: EngineKnowledge['inFlight'];
   readonly health: EngineKnowledge['health'];
 } {
   const knowledge = new EngineKnowledge();
-  const { use: inFlight, health } = knowledge;
+  const { inFlight, health } = knowledge;
   const placement = new LocalPlacement(knowledge);
-  placement.reshape(engines);
+  placement.setEngines(engines);
   return { placement, inFlight, health };
 }
 
@@ -31,7 +31,7 @@
 
 test('chooses the prefill engine with the shortest backlog, peers included', () => {
   const { placement, inFlight } = setUp(POOL);
-  inFlight.change('p1', { prefillTokens: 5_000 });
+  inFlight.adjust('p1', { prefillTokens: 5_000 });
   inFlight.receive(
     'peer',
     new Map([['p2', { prefillTokens: 20_000, streams: 0, memoryTokens: 0 }]]),
@@ -68,17 +68,17 @@
 
 test('a decode engine prefills one prompt at a time', () => {
   const { placement, inFlight } = setUp([engine('d1', 'decode')]);
-  inFlight.change('d1', { prefillTokens: 100 });
+  inFlight.adjust('d1', { prefillTokens: 100 });
   assert.equal(placement.choose(REQUEST, 0), undefined);
 });
 
 // Guards against requests that all try a crashed engine first, since it is still listed and looks empty.
 test('an engine in back-off is passed over unless it is the only one', () => {
   const { placement, health } = setUp(POOL);
-  health.failed('d1', 0);
+  health.recordFailure('d1', 0);
   assert.equal(placement.choose(REQUEST, 100)?.decode, 'd2');
   assert.equal(placement.choose({ ...REQUEST, avoid: ['d2'] }, 100)?.decode, 'd1');
-  health.succeeded('d1');
+  health.recordSuccess('d1');
   assert.notEqual(placement.choose({ ...REQUEST, avoid: ['d2'] }, 100), undefined);
 });
 
@@ -95,7 +95,7 @@
 
 test('a decode engine is not filled beyond its memory', () => {
   const { placement, inFlight } = setUp([engine('d1', 'decode')]);
-  inFlight.change('d1', { memoryTokens: 72_000 });
+  inFlight.adjust('d1', { memoryTokens: 72_000 });
   assert.equal(placement.choose(REQUEST, 0), undefined);
 });
 
@@ -105,11 +105,11 @@
   const engines = Array.from({ length: 20 }, (_, i) => engine(`d${i}`, 'decode'));
   const chosen = Array.from({ length: 90 }, (_, seed) => {
     const knowledge = new EngineKnowledge();
-    const { use: inFlight } = knowledge;
+    const { inFlight } = knowledge;
     Array.from({ length: 89 }, (__, i) => inFlight.receive(`h${i}`, new Map(), 0));
-    inFlight.change('d0', { memoryTokens: 100 });
+    inFlight.adjust('d0', { memoryTokens: 100 });
     const placement = new LocalPlacement(knowledge, new RandomSource(seed));
-    placement.reshape(engines);
+    placement.setEngines(engines);
     return placement.choose(REQUEST, 0)?.decode;
   });
   const most = Math.max(...engines.map(({ id }) => chosen.filter((one) => one === id).length));
@@ -120,10 +120,10 @@
 function setUpBusyPrefill(tokenMs: number, streams: number) {
   const pool = [engine('p1', 'prefill'), { ...engine('d1', 'decode'), eventTokens: 12 }];
   const all = setUp(pool);
-  all.health.prefillTook('p1', 3_300, 100);
-  all.health.tokensTook('d1', tokenMs);
-  all.inFlight.change('p1', { prefillTokens: 30_000 });
-  all.inFlight.change('d1', { streams, memoryTokens: 100 });
+  all.health.recordPrefill('p1', 3_300, 100);
+  all.health.recordTokenInterval('d1', tokenMs);
+  all.inFlight.adjust('p1', { prefillTokens: 30_000 });
+  all.inFlight.adjust('d1', { streams, memoryTokens: 100 });
   return all;
 }
 
@@ -149,7 +149,7 @@
 // Guards against refusals while all prefill engines are gone: a pause in some streams is the lesser harm.
 test('without prefill engines a prompt is prefilled beside streams in any case', () => {
   const { placement, inFlight } = setUp([engine('d1', 'decode')]);
-  inFlight.change('d1', { streams: 10, memoryTokens: 100 });
+  inFlight.adjust('d1', { streams: 10, memoryTokens: 100 });
   const req = { ...REQUEST, promptTokens: 9_000, longestPauseMs: 10 };
   assert.equal(placement.choose(req, 0)?.decode, 'd1');
 });
@@ -159,9 +159,9 @@
 test('an engine that changes its role gets no requests', () => {
   const knowledge = new EngineKnowledge();
   const placement = new LocalPlacement(knowledge);
-  placement.reshape(POOL);
-  knowledge.moves.begin('p1', 'decode', 20_000);
-  knowledge.moves.begin('d1', 'prefill', 20_000);
+  placement.setEngines(POOL);
+  knowledge.roleChanges.begin('p1', 'decode', 20_000);
+  knowledge.roleChanges.begin('d1', 'prefill', 20_000);
   const pair = placement.choose(REQUEST, 0);
   assert.deepEqual([pair?.prefill, pair?.decode], ['p2', 'd2']);
 });
@@ -169,18 +169,18 @@
 test('outliers among the recent prefills do not change the estimated speed', () => {
   const { health } = setUp(POOL);
   const durations = [100, 100, 100, 1, 100, 300, 100, 100, 100, 100];
-  durations.forEach((ms) => health.prefillTook('p1', 3_000, ms));
-  assert.equal(health.readMs('p1', 3_000, []), 100);
-  assert.equal(health.readMs('p2', 3_000, ['p1', 'p2']), 100);
+  durations.forEach((ms) => health.recordPrefill('p1', 3_000, ms));
+  assert.equal(health.estimatePrefillMs('p1', 3_000, []), 100);
+  assert.equal(health.estimatePrefillMs('p2', 3_000, ['p1', 'p2']), 100);
 });
 
 // Guards against idle engines that get no prompts because an old report of a peer still counts in full.
 test('prompts reported by a peer count less as the report ages', () => {
   const { placement, inFlight, health } = setUp(POOL);
-  ['p1', 'p2'].forEach((id) => health.prefillTook(id, 5_000, 100));
+  ['p1', 'p2'].forEach((id) => health.recordPrefill(id, 5_000, 100));
   const queued = { prefillTokens: 10_000, streams: 0, memoryTokens: 0 };
   inFlight.receive('peer', new Map([['p1', queued]]), 0);
-  inFlight.change('p2', { prefillTokens: 5_000 });
+  inFlight.adjust('p2', { prefillTokens: 5_000 });
   assert.equal(placement.choose(REQUEST, 50)?.prefill, 'p2');
   assert.equal(placement.choose(REQUEST, 180)?.prefill, 'p1');
 });
--- a/packages/decisions/tests/local/SlowStart.test.ts
+++ b/packages/decisions/tests/local/SlowStart.test.ts
@@ -8,7 +8,7 @@
 
 const bounded = (quota: number): SlowStart => {
   const slowStart = new SlowStart(() => quota);
-  slowStart.reshape(new Map([['e1', BOUNDS]]));
+  slowStart.setBounds(new Map([['e1', BOUNDS]]));
   return slowStart;
 };
 
@@ -17,18 +17,18 @@
 
 test('an upstream that is not starting, or has no bounds, is not limited', () => {
   const slowStart = bounded(1);
-  slowStart.used('e1', 0);
+  slowStart.recordRequest('e1', 0);
   assert.equal(slowStart.allowance('e1', 1), Infinity);
-  slowStart.started('e2', undefined, 0);
+  slowStart.recordStart('e2', undefined, 0);
   assert.equal(slowStart.allowance('e2', 1), Infinity);
 });
 
 test('a starting upstream gets the quota of this host, and is not limited afterwards', () => {
   const slowStart = bounded(2);
-  slowStart.started('e1', 2_000, 0);
-  slowStart.used('e1', 10);
+  slowStart.recordStart('e1', 2_000, 0);
+  slowStart.recordRequest('e1', 10);
   assert.equal(slowStart.allowance('e1', 20), 1);
-  slowStart.used('e1', 20);
+  slowStart.recordRequest('e1', 20);
   assert.equal(slowStart.allowance('e1', 30), 0);
   assert.equal(slowStart.allowance('e1', 1_600), 2);
   assert.equal(slowStart.allowance('e1', 2_000), Infinity);
@@ -37,8 +37,8 @@
 // Guards against full load on an upstream whose entry in the store lags behind its start.
 test('an upstream that does not report how long it is starting is limited for the full time', () => {
   const slowStart = bounded(1);
-  slowStart.started('e1', undefined, 100);
-  slowStart.used('e1', 2_000);
+  slowStart.recordStart('e1', undefined, 100);
+  slowStart.recordRequest('e1', 2_000);
   assert.equal(slowStart.allowance('e1', 3_099), 0);
   assert.equal(slowStart.allowance('e1', 3_100), Infinity);
 });
@@ -46,14 +46,14 @@
 // Guards against full load on an upstream that has crashed and is back under its old name.
 test('an upstream whose connection failed is limited until some time after its next answer', () => {
   const slowStart = bounded(1);
-  slowStart.unreachable('e1');
-  slowStart.used('e1', 9_000);
+  slowStart.recordUnreachable('e1');
+  slowStart.recordRequest('e1', 9_000);
   assert.equal(slowStart.allowance('e1', 9_001), 0);
-  slowStart.answered('e1', 9_010);
-  slowStart.used('e1', 11_500);
+  slowStart.recordAnswer('e1', 9_010);
+  slowStart.recordRequest('e1', 11_500);
   assert.equal(slowStart.allowance('e1', 12_000), 0);
   assert.equal(slowStart.allowance('e1', 12_010), Infinity);
-  slowStart.answered('e1', 12_020);
+  slowStart.recordAnswer('e1', 12_020);
   assert.equal(slowStart.allowance('e1', 12_030), Infinity);
 });
 
@@ -98,8 +98,8 @@
         const slowStart = new SlowStart((upstream, bound) =>
           slowStartQuota(upstream, host, numberedNames(count), bound),
         );
-        slowStart.reshape(new Map([['e1', BOUNDS]]));
-        slowStart.started('e1', 10_000, 0);
+        slowStart.setBounds(new Map([['e1', BOUNDS]]));
+        slowStart.recordStart('e1', 10_000, 0);
         return arrivalsOf(slowStart, startsAt, delays[i] ?? 0);
       });
       const most = Math.max(
@@ -120,11 +120,11 @@
 ): readonly Millis[] {
   return Array.from({ length: 60 }, (_, i) => i * 100).flatMap((now) => {
     if (startsAt.some((at) => at >= now && at < now + 100)) {
-      slowStart.started('e1', undefined, now);
+      slowStart.recordStart('e1', undefined, now);
     }
     const allowed = slowStart.allowance('e1', now);
     return Array.from({ length: allowed }, () => {
-      slowStart.used('e1', now);
+      slowStart.recordRequest('e1', now);
       return now + delayMs;
     });
   });
--- a/packages/decisions/tests/local/placingUnderLoad.test.ts
+++ b/packages/decisions/tests/local/placingUnderLoad.test.ts
@@ -2,7 +2,12 @@
 import { test } from 'node:test';
 import type { EngineConfig, Millis } from '@camphorvane/core';
 import { RandomSource } from '@camphorvane/core';
-import { CallerAges, EngineKnowledge, LocalPlacement, LocalQueue } from '@camphorvane/decisions';
+import {
+  RequestAgeEstimator,
+  EngineKnowledge,
+  LocalPlacement,
+  LocalQueue,
+} from '@camphorvane/decisions';
 
 const STEP_MS = 5;
 const GOSSIP_PERIOD_MS = 40;
@@ -81,10 +86,10 @@
   const random = new RandomSource(seed);
   const hosts = Array.from({ length: load.hosts }, () => {
     const knowledge = new EngineKnowledge();
-    const inFlight = knowledge.use;
+    const {inFlight} = knowledge;
     const placement = new LocalPlacement(knowledge);
-    placement.reshape(ENGINES);
-    const { waiting } = knowledge;
+    placement.setEngines(ENGINES);
+    const { peerBacklog: waiting } = knowledge;
     const peersOnTime = (now: Millis): number => waiting.sum('m', now);
     const queue =
       load.ignoresPeers === true
@@ -106,7 +111,7 @@
     readonly promptTokens: number;
     readonly decodeMs: Millis;
   }[] = [];
-  const ages = new CallerAges();
+  const ages = new RequestAgeEstimator();
   const submit = (
     now: Millis,
     promptTokens: number,
@@ -114,7 +119,7 @@
     firstSubmittedAt: Millis,
     request: string,
   ): void => {
-    const ageMs = ages.note('r', CALLER_TIMEOUT_MS - (now - firstSubmittedAt), now);
+    const ageMs = ages.estimate('r', CALLER_TIMEOUT_MS - (now - firstSubmittedAt), now);
     const knownAgeMs = load.retries === 'known' ? ageMs : 0;
     const memoryTokens = promptTokens + decodeMs;
     const lateMs = Math.max(0, TARGET_MS * ON_TIME_FRACTION - knownAgeMs);
@@ -129,7 +134,7 @@
       promptTokens,
       memoryTokens,
       memorySteps: load.hasEqualFootprints === true ? 1 : memoryTokens * decodeMs,
-      since: now,
+      submittedAt: now,
       avoid: [],
     });
   };
@@ -157,14 +162,14 @@
       .filter((one) => !prefilled.has(one) && one.prefilledAt <= now)
       .forEach((one) => {
         prefilled.add(one);
-        hosts[one.host]?.inFlight.change(one.engine, { prefillTokens: -one.promptTokens });
+        hosts[one.host]?.inFlight.adjust(one.engine, { prefillTokens: -one.promptTokens });
       });
     running
       .filter((one) => one.endAt <= now)
       .forEach((one) => {
         const change = { streams: -1, memoryTokens: -one.memoryTokens };
-        hosts[one.host]?.inFlight.change(one.decode, change);
-        hosts[one.host]?.queue.ended('t');
+        hosts[one.host]?.inFlight.adjust(one.decode, change);
+        hosts[one.host]?.queue.requestEnded('t');
       });
     running = running.filter((one) => one.endAt > now);
     if (now % GOSSIP_PERIOD_MS === 0) {
@@ -194,8 +199,8 @@
           const startAt = Math.max(now, freeAt.get(engine) ?? 0);
           const prefilledAt = startAt + (arrival.promptTokens / PREFILL_TOKENS_PER_MS) * factor;
           freeAt.set(engine, prefilledAt);
-          inFlight.change(engine, { prefillTokens: arrival.promptTokens });
-          inFlight.change(decode, { streams: 1, memoryTokens: arrival.memoryTokens });
+          inFlight.adjust(engine, { prefillTokens: arrival.promptTokens });
+          inFlight.adjust(decode, { streams: 1, memoryTokens: arrival.memoryTokens });
           const { promptTokens, memoryTokens } = arrival;
           const endAt = prefilledAt + arrival.decodeMs;
           running.push({
--- a/packages/decisions/tests/rates/CountedRates.test.ts
+++ b/packages/decisions/tests/rates/DistributedRateLimiter.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CountedRates } from '@camphorvane/decisions';
+import { DistributedRateLimiter } from '@camphorvane/decisions';
 
 const TOLERANCE = { over: 0.1, slackTokens: 12_000, windowMs: 8_000 };
 const TEAM = 't';
@@ -22,13 +22,13 @@
 /** Simulates hosts that charge the same team, and gets the tokens charged in each step. */
 function simulate(options: FleetOptions): readonly number[] {
   const names = Array.from({ length: options.hosts }, (_, i) => `h${i}`);
-  const rates = names.map(() => new CountedRates(TOLERANCE));
+  const rates = names.map(() => new DistributedRateLimiter(TOLERANCE));
   rates.forEach((one, i) => {
     one.setSharers(
       names.filter((_, j) => j !== i),
       0,
     );
-    one.reshape(new Map([[TEAM, RATE]]), 0);
+    one.reconfigure(new Map([[TEAM, RATE]]), 0);
   });
   const usedHosts = options.usedHosts ?? options.hosts;
   let pendingTokens = 0;
@@ -116,9 +116,9 @@
 // stays reserved. Callers of the other hosts that are within the rest must not be refused.
 test('a team within five sixths of its rate is served in full if one host of six has failed', () => {
   const hosts = Array.from({ length: 6 }, (_, i) => `h${i}`);
-  const rates = new CountedRates(TOLERANCE);
+  const rates = new DistributedRateLimiter(TOLERANCE);
   rates.setSharers(hosts.slice(1), 0);
-  rates.reshape(new Map([[TEAM, RATE]]), 0);
+  rates.reconfigure(new Map([[TEAM, RATE]]), 0);
   let refused = 0;
   Array.from({ length: 2_000 }, (_, step) => step * STEP_MS).forEach((now) => {
     hosts.slice(1, 5).forEach((host) => rates.receive(host, 's', new Map(), now));
@@ -130,9 +130,9 @@
 // A host restarts and counts from zero. If its peers took the lower count for a refund, the team could
 // use the same tokens twice.
 test('the restart of a peer refunds nothing', () => {
-  const rates = new CountedRates(TOLERANCE);
+  const rates = new DistributedRateLimiter(TOLERANCE);
   rates.setSharers(['p'], 0);
-  rates.reshape(new Map([[TEAM, RATE]]), 0);
+  rates.reconfigure(new Map([[TEAM, RATE]]), 0);
   rates.receive('p', 'first', new Map([[TEAM, 5_000]]), 0);
   rates.receive('p', 'first', new Map([[TEAM, 9_000]]), 100);
   const before = rates.inspect(TEAM, 100).level;
@@ -141,8 +141,8 @@
 });
 
 test('refusals stagger their retry-after', () => {
-  const rates = new CountedRates({ over: 0, slackTokens: 0, windowMs: 8_000 });
-  rates.reshape(new Map([[TEAM, RATE]]), 0);
+  const rates = new DistributedRateLimiter({ over: 0, slackTokens: 0, windowMs: 8_000 });
+  rates.reconfigure(new Map([[TEAM, RATE]]), 0);
   rates.charge(TEAM, 10_000, 0);
   const retryAfterMs = [1, 2, 3].map(() => {
     const outcome = rates.charge(TEAM, 1_000, 0);
@@ -152,8 +152,8 @@
 });
 
 test('tokens that a request did not use are refunded', () => {
-  const rates = new CountedRates({ over: 0, slackTokens: 0, windowMs: 8_000 });
-  rates.reshape(new Map([[TEAM, RATE]]), 0);
+  const rates = new DistributedRateLimiter({ over: 0, slackTokens: 0, windowMs: 8_000 });
+  rates.reconfigure(new Map([[TEAM, RATE]]), 0);
   rates.charge(TEAM, 10_000, 0);
   rates.refund(TEAM, 4_000, 0);
   assert.equal(rates.charge(TEAM, 4_000, 0).type, 'charged');
--- a/packages/decisions/tests/retry/ResumePlan.test.ts
+++ b/packages/decisions/tests/retry/ResumePlan.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type BrokenStream, type ResumeMeans, planResume } from '@camphorvane/decisions';
+import { type InterruptedStream, type ResumeContext, planResume } from '@camphorvane/decisions';
 
-const STREAM: BrokenStream = {
+const STREAM: InterruptedStream = {
   idempotent: true,
   promptTokens: 6_000,
   deliveredTokens: 40,
   maxOutputTokens: 400,
-  patienceMs: 5_000,
+  maxPauseMs: 5_000,
   kv: undefined,
 };
 
-const CONTEXT: ResumeMeans = {
+const CONTEXT: ResumeContext = {
   prefillWaitMs: 100,
-  prefillRate: 30,
+  prefillTokensPerMs: 30,
   transferMs: 60,
   mayRetry: () => true,
 };
--- a/packages/decisions/tests/retry/RepeatBudget.test.ts
+++ b/packages/decisions/tests/retry/ServiceRetryBudget.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RepeatBudget } from '@camphorvane/decisions';
+import { ServiceRetryBudget } from '@camphorvane/decisions';
 
 const ALLOWANCE = { ratio: 0.2, slack: 52, windowMs: 10_000 };
 
@@ -8,13 +8,16 @@
 // is retried: the retries of all hosts together must stay within the allowance.
 test('all hosts together stay within the allowance of a window', () => {
   const hosts = 6;
-  const budgets = Array.from({ length: hosts }, () => new RepeatBudget(ALLOWANCE, () => hosts));
+  const budgets = Array.from(
+    { length: hosts },
+    () => new ServiceRetryBudget(ALLOWANCE, () => hosts),
+  );
   const perSecond = 10;
   let retries = 0;
   Array.from({ length: 10 * perSecond }, (_, i) => (i * 1_000) / perSecond).forEach((now) =>
     budgets.forEach((budget) => {
-      budget.attempted('s', now);
-      while (budget.tryRepeat('s', now)) retries += 1;
+      budget.recordAttempt('s', now);
+      while (budget.tryRetry('s', now)) retries += 1;
     }),
   );
   const requests = hosts * 10 * perSecond;
@@ -23,24 +26,24 @@
 });
 
 test('each host may send one retry, however many hosts share the slack', () => {
-  const budget = new RepeatBudget(ALLOWANCE, () => 400);
-  assert.ok(budget.tryRepeat('s', 0));
-  assert.ok(!budget.tryRepeat('s', 0));
+  const budget = new ServiceRetryBudget(ALLOWANCE, () => 400);
+  assert.ok(budget.tryRetry('s', 0));
+  assert.ok(!budget.tryRetry('s', 0));
 });
 
 test('one service does not use up the budget of another', () => {
-  const budget = new RepeatBudget(ALLOWANCE, () => 6);
-  while (budget.tryRepeat('bad', 0));
-  assert.ok(budget.tryRepeat('good', 0));
+  const budget = new ServiceRetryBudget(ALLOWANCE, () => 6);
+  while (budget.tryRetry('bad', 0));
+  assert.ok(budget.tryRetry('good', 0));
 });
 
 // Guards against a budget that accumulates only a few retries: a crashed server fails all its requests
 // at once, and most would be refused although the window's allowance covers their retries.
 test('the allowance of a window may be used at once, and returns after the window', () => {
-  const budget = new RepeatBudget(ALLOWANCE, () => 6);
-  Array.from({ length: 100 }, (_, i) => i * 100).forEach((now) => budget.attempted('s', now));
+  const budget = new ServiceRetryBudget(ALLOWANCE, () => 6);
+  Array.from({ length: 100 }, (_, i) => i * 100).forEach((now) => budget.recordAttempt('s', now));
   const spendAll = (now: number): number => {
-    const allowed = Array.from({ length: 100 }).filter(() => budget.tryRepeat('s', now));
+    const allowed = Array.from({ length: 100 }).filter(() => budget.tryRetry('s', now));
     return allowed.length;
   };
   const share = ALLOWANCE.slack / 6 + ALLOWANCE.ratio * 100;
--- a/packages/decisions/tests/shift/DemandHistory.test.ts
+++ b/packages/decisions/tests/roles/DemandHistory.test.ts
@@ -9,7 +9,7 @@
   Array.from({ length: count }, () => ONE).reduce(sumDemand, NO_DEMAND);
 
 const requestsIn = (history: DemandHistory, now: number): number =>
-  history.getSpans(now).reduce((sum, bucket) => sum + bucket.requests, 0);
+  history.getBuckets(now).reduce((sum, bucket) => sum + bucket.requests, 0);
 
 test('totals of several hosts are added up in the bucket in which they are received', () => {
   const history = new DemandHistory();
@@ -19,7 +19,7 @@
   history.receive('b', 's', times(3), 150);
   history.receive('a', 's', times(4), 250);
   assert.deepEqual(
-    history.getSpans(400).map((bucket) => bucket.requests),
+    history.getBuckets(400).map((bucket) => bucket.requests),
     [5, 2],
   );
 });
--- a/packages/decisions/tests/shift/forecastLate.test.ts
+++ b/packages/decisions/tests/roles/forecastLateShare.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { forecastLate } from '@camphorvane/decisions';
-import { makeSpans, memoryOf } from '../support/demand.ts';
+import { forecastLateShare } from '@camphorvane/decisions';
+import { makeDemandBuckets, memoryOf } from '../support/demand.ts';
 
 const SHAPE = { promptTokens: 3_000, outputTokens: 800 };
 const TOKEN_MS = 4;
@@ -12,8 +12,12 @@
 const memoryFor = (perSecond: number): number => (perSecond * memoryOf(SHAPE) * HOLD_MS) / 1_000;
 
 const forecast = (perSecond: number, readPerMs: number, memoryTokens: number): number => {
-  const spans = makeSpans(SHAPE, () => perSecond, 20_000);
-  return forecastLate(spans, { readPerMs, memoryTokens, tokenMs: TOKEN_MS }, OPTS);
+  const spans = makeDemandBuckets(SHAPE, () => perSecond, 20_000);
+  return forecastLateShare(
+    spans,
+    { prefillTokensPerMs: readPerMs, memoryTokens, tokenIntervalMs: TOKEN_MS },
+    OPTS,
+  );
 };
 
 test('no request is late while both stages have spare capacity', () => {
@@ -33,9 +37,13 @@
 // Two seconds of demand only begin to fill the engines' memory. Replayed once, they would show no
 // late requests, and the overload would be noticed only once all requests wait.
 test('a short history is repeated', () => {
-  const spans = makeSpans(SHAPE, () => 8, 2_000, 3);
-  const capacity = { readPerMs: 200, memoryTokens: memoryFor(4), tokenMs: TOKEN_MS };
-  assert.ok(forecastLate(spans, capacity, OPTS) > 0.2);
+  const spans = makeDemandBuckets(SHAPE, () => 8, 2_000, 3);
+  const capacity = {
+    prefillTokensPerMs: 200,
+    memoryTokens: memoryFor(4),
+    tokenIntervalMs: TOKEN_MS,
+  };
+  assert.ok(forecastLateShare(spans, capacity, OPTS) > 0.2);
 });
 
 // With demand for twice the memory, requests that get none are never prefilled. If their prompts
@@ -50,6 +58,6 @@
 });
 
 test('without demand no request is late', () => {
-  const capacity = { readPerMs: 1, memoryTokens: 1, tokenMs: 1 };
-  assert.equal(forecastLate([], capacity, OPTS), 0);
+  const capacity = { prefillTokensPerMs: 1, memoryTokens: 1, tokenIntervalMs: 1 };
+  assert.equal(forecastLateShare([], capacity, OPTS), 0);
 });
--- a/packages/decisions/tests/service/ServiceGate.overload.test.ts
+++ b/packages/decisions/tests/service/ServiceQueue.overload.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { Millis } from '@camphorvane/core';
 import { RandomSource } from '@camphorvane/core';
-import { ServiceGate } from '@camphorvane/decisions';
+import { ServiceQueue } from '@camphorvane/decisions';
 
 const SERVERS = ['s1', 's2', 's3'];
 const SERVER_CONCURRENCY = 6;
@@ -21,8 +21,8 @@
 
 /** Simulates a one-second burst of twice the servers' capacity between spans of lower load. */
 function simulate(maxWaitMs: Millis, areLateLast: boolean): Outcome {
-  const gate = new ServiceGate(new RandomSource(3));
-  gate.reshape(SERVERS.map((id) => ({ id, limit: SERVER_CONCURRENCY })));
+  const gate = new ServiceQueue(new RandomSource(3));
+  gate.reconfigure(SERVERS.map((id) => ({ id, limit: SERVER_CONCURRENCY })));
   const random = new RandomSource(5);
   const submittedAt = new Map<string, Millis>();
   const teams = new Map<string, string>();
@@ -36,7 +36,7 @@
     arrivals -= due;
     ends
       .filter(({ at }) => at === now)
-      .forEach(({ server, team }) => gate.ended(team, server, false, now));
+      .forEach(({ server, team }) => gate.callEnded(team, server, false, now));
     Array.from({ length: due }).forEach((_, i) => {
       const request = `${now}.${i}`;
       submittedAt.set(request, now);
--- a/packages/decisions/tests/support/demand.ts
+++ b/packages/decisions/tests/support/demand.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@camphorvane/core';
 import { RandomSource } from '@camphorvane/core';
 import type { PoolDemand } from '@camphorvane/decisions';
-import { DEMAND_SPAN_MS, NO_DEMAND, sumDemand } from '@camphorvane/decisions';
+import { DEMAND_BUCKET_MS, NO_DEMAND, sumDemand } from '@camphorvane/decisions';
 
 /** Token counts of requests of one kind. */
 export interface RequestShape {
@@ -23,7 +23,7 @@
  * @param seed - Seed of the arrival times.
  * @returns The buckets.
  */
-export function makeSpans(
+export function makeDemandBuckets(
   shape: RequestShape,
   perSecond: (at: Millis) => number,
   forMs: Millis,
@@ -37,8 +37,8 @@
     memoryTokens,
     memorySteps: memoryTokens * shape.outputTokens,
   };
-  return Array.from({ length: Math.floor(forMs / DEMAND_SPAN_MS) }, (_, i) => {
-    const groups = (perSecond(i * DEMAND_SPAN_MS) * DEMAND_SPAN_MS) / 1_000 / 3;
+  return Array.from({ length: Math.floor(forMs / DEMAND_BUCKET_MS) }, (_, i) => {
+    const groups = (perSecond(i * DEMAND_BUCKET_MS) * DEMAND_BUCKET_MS) / 1_000 / 3;
     const draws = Array.from({ length: 10 }, () => random.next() < groups / 10);
     return draws.filter(Boolean).reduce((sum) => [one, one, one].reduce(sumDemand, sum), NO_DEMAND);
   });
--- a/packages/decisions/tests/support/pool.ts
+++ b/packages/decisions/tests/support/pool.ts
@@ -1,5 +1,5 @@
 import { type EngineConfig, type EngineRole, RandomSource } from '@camphorvane/core';
-import { FairPoolScheduler, type PoolShape, type WorkItem } from '@camphorvane/decisions';
+import { FairPoolScheduler, type PoolSchedulerConfig, type WorkItem } from '@camphorvane/decisions';
 
 /** Makes the configuration of an engine. */
 export function engine(id: string, role: EngineRole, memoryPieces = 20): EngineConfig {
@@ -7,7 +7,7 @@
 }
 
 /** Makes a pool with engines `p0`, `p1`, ... for prefill and `d0`, `d1`, ... for decode. */
-export function pool(prefills: number, decodes: number, memoryPieces = 20): PoolShape {
+export function pool(prefills: number, decodes: number, memoryPieces = 20): PoolSchedulerConfig {
   const ids = (count: number): readonly number[] => [...Array(count).keys()];
   return {
     engines: [
@@ -21,7 +21,7 @@
 }
 
 /** Makes a scheduler with a fixed seed. */
-export function scheduler(shape: PoolShape): FairPoolScheduler {
+export function scheduler(shape: PoolSchedulerConfig): FairPoolScheduler {
   return new FairPoolScheduler(shape, { random: new RandomSource(1), reservationPrefix: 'r' });
 }
 
--- a/packages/router/src/agreement/DeploymentFeed.ts
+++ b/packages/router/src/agreement/DeploymentFeed.ts
@@ -212,7 +212,7 @@
       return { object, server };
     });
     this.readServers = new Map(read.map((one) => [one.object.name, one]));
-    this.options.slowStart.keepOnly(new Set(this.readServers.keys()));
+    this.options.slowStart.retain(new Set(this.readServers.keys()));
     const listed = read.map(({ server }) => server).filter((server) => server !== undefined);
     this.roster.update(listed, awayMs, clock.now());
     this.hasServers = true;
@@ -229,7 +229,7 @@
 
   private noteStart(server: ServerRecord | undefined): void {
     if (server === undefined || server.startingMs === 0) return;
-    this.options.slowStart.started(server.id, server.startingMs, this.options.clock.now());
+    this.options.slowStart.recordStart(server.id, server.startingMs, this.options.clock.now());
   }
 
   /** Servers of a drained zone may have started anew unseen, and their entries lag behind. */
@@ -238,7 +238,7 @@
     this.roster
       .list(now)
       .filter(({ zone }) => zones.includes(zone))
-      .forEach(({ id }) => this.options.slowStart.started(id, undefined, now));
+      .forEach(({ id }) => this.options.slowStart.recordStart(id, undefined, now));
   }
 
   private announce(): void {
--- a/packages/router/src/agreement/DigestBuilder.ts
+++ b/packages/router/src/agreement/DigestBuilder.ts
@@ -9,7 +9,7 @@
   UpstreamId,
 } from '@camphorvane/core';
 import type { PoolDemand } from '@camphorvane/decisions';
-import { hintLifetime, NO_DEMAND, subtractDemand, sumDemand } from '@camphorvane/decisions';
+import { gossipTtlMs, NO_DEMAND, subtractDemand, sumDemand } from '@camphorvane/decisions';
 import type {
   DemandHint,
   DrainedZones,
@@ -78,7 +78,7 @@
   /** Forgets hosts whose next hints have not come. */
   forget(now: Millis): void {
     [...this.hints]
-      .filter(([, { at, hint }]) => now - at > hintLifetime(hint.nextMs))
+      .filter(([, { at, hint }]) => now - at > gossipTtlMs(hint.nextMs))
       .forEach(([host]) => this.hints.delete(host));
   }
 
--- a/packages/router/src/agreement/GroupAgreement.ts
+++ b/packages/router/src/agreement/GroupAgreement.ts
@@ -18,9 +18,9 @@
 import type { RepeatGate } from '../host/ports.ts';
 import { FallbackPlacer } from '../placing/FallbackPlacer.ts';
 import { PlacementClient } from '../placing/PlacementClient.ts';
-import { StewardDesk } from '../placing/StewardDesk.ts';
+import { CoordinatorRegistry } from '../placing/CoordinatorRegistry.ts';
 import { CrashGuard } from '../serving/CrashGuard.ts';
-import { teamRepeats } from '../serving/teamRepeats.ts';
+import { teamRetryGate } from '../serving/retryGates.ts';
 import type { AgreementContext, AgreementFactory, HostAgreement } from './HostAgreement.ts';
 import { OutageRates } from './OutageRates.ts';
 
@@ -73,7 +73,7 @@
 
   private readonly sweeper: ClaimSweeper;
 
-  private readonly desk: StewardDesk;
+  private readonly desk: CoordinatorRegistry;
 
   private readonly fallback: FallbackPlacer;
 
@@ -136,9 +136,9 @@
       members: () => group.members().map((member) => member.host),
       mayAct: () => group.mayAct(),
     });
-    this.repeats = teamRepeats(new RetryBudget());
+    this.repeats = teamRetryGate(new RetryBudget());
     this.crashes = new CrashGuard({ self: identity.host, clock, group, link });
-    this.desk = new StewardDesk({ clock, random, group, directory, incarnation });
+    this.desk = new CoordinatorRegistry({ clock, random, group, directory, incarnation });
     this.fallback = new FallbackPlacer({
       clock,
       random,
@@ -151,7 +151,7 @@
       clock,
       group,
       link,
-      desk: this.desk,
+      coordinators: this.desk,
       fallback: this.fallback,
     });
   }
@@ -202,7 +202,7 @@
           : { type: 'membership', message };
       }
       case 'crashes':
-        this.crashes.heard(req.reports);
+        this.crashes.receiveReports(req.reports);
         return { type: 'ok' };
       case 'share_sync':
         return this.shares.answerSync(from, req.message);
--- a/packages/router/src/agreement/HintReceiver.ts
+++ b/packages/router/src/agreement/HintReceiver.ts
@@ -1,8 +1,8 @@
 import type { Clock, ModelId } from '@camphorvane/core';
-import type { EngineKnowledge, EngineUse } from '@camphorvane/decisions';
+import type { EngineKnowledge, InFlightLoad } from '@camphorvane/decisions';
 import type { DemandHint, EngineHint, HostDigest, HostHint } from '@camphorvane/peer/hints';
 import type { EngineProbes } from '../placing/EngineProbes.ts';
-import type { CallShares } from '../serving/CallShares.ts';
+import type { ConcurrencyShares } from '../serving/ConcurrencyShares.ts';
 import type { DeploymentFeed } from './DeploymentFeed.ts';
 import type { HostRoster } from './HostRoster.ts';
 import type { SharedRates } from './SharedRates.ts';
@@ -15,7 +15,7 @@
   readonly config: DeploymentFeed;
   readonly knowledge: EngineKnowledge;
   readonly probes: EngineProbes;
-  readonly calls: CallShares;
+  readonly calls: ConcurrencyShares;
 }
 
 /** Takes what peers say to the parts of this host that go by it. */
@@ -35,7 +35,7 @@
     rates.receive(hint);
     config.noteNewer(hint.versions);
     config.receiveDrained(hint.drained);
-    const { use, demand, moves, waiting } = knowledge;
+    const { inFlight: use, demand, roleChanges: moves, peerBacklog: waiting } = knowledge;
     use.receive(hint.host, usesOf(hint.engines), now);
     waiting.receive(hint.host, waitingOf(hint.demand), now);
     demand.receive(hint.host, hint.incarnation, hint.demand, now);
@@ -52,7 +52,7 @@
     rates.receiveSum(digest);
     config.noteNewer(digest.versions);
     config.receiveDrained(digest.drained);
-    const { use, demand, moves, waiting } = knowledge;
+    const { inFlight: use, demand, roleChanges: moves, peerBacklog: waiting } = knowledge;
     use.receiveSum(usesOf(digest.engines), digest.heard, now);
     waiting.receiveSum(waitingOf(digest.demand), digest.heard, now);
     demand.receiveRelayed(`${digest.host} ${digest.incarnation}`, digest.demand, now);
@@ -62,8 +62,8 @@
   }
 }
 
-function usesOf(engines: readonly EngineHint[]): ReadonlyMap<string, EngineUse> {
-  return new Map(engines.map(({ engine, ...use }): [string, EngineUse] => [engine, use]));
+function usesOf(engines: readonly EngineHint[]): ReadonlyMap<string, InFlightLoad> {
+  return new Map(engines.map(({ engine, ...use }): [string, InFlightLoad] => [engine, use]));
 }
 
 function waitingOf(demand: readonly DemandHint[]): ReadonlyMap<ModelId, number> {
--- a/packages/router/src/agreement/HostAgreement.ts
+++ b/packages/router/src/agreement/HostAgreement.ts
@@ -12,7 +12,7 @@
 } from '../host/ports.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { Placer } from '../placing/Placer.ts';
-import type { CallShares } from '../serving/CallShares.ts';
+import type { ConcurrencyShares } from '../serving/ConcurrencyShares.ts';
 import type { CrashGuard } from '../serving/CrashGuard.ts';
 
 /** A configuration that changes while the host runs. */
@@ -89,7 +89,7 @@
   readonly random: RandomSource;
   readonly directory: UpstreamDirectory;
   /** What the hosts have on plain services. */
-  readonly calls: CallShares;
+  readonly calls: ConcurrencyShares;
 }
 
 /** Makes the agreement of a host. */
--- a/packages/router/src/agreement/HostRecords.ts
+++ b/packages/router/src/agreement/HostRecords.ts
@@ -1,7 +1,7 @@
 import type { Clock, HostId, Incarnation } from '@camphorvane/core';
 import { sleep } from '@camphorvane/core';
-import type { GossipPace } from '@camphorvane/decisions';
-import { gossipPace } from '@camphorvane/decisions';
+import type { GossipTimings } from '@camphorvane/decisions';
+import { gossipTimings } from '@camphorvane/decisions';
 import type { StoredObject, WatchableStore } from '@camphorvane/store';
 import { OwnRecord } from '@camphorvane/store';
 import { stateLog } from '../observe/StateLog.ts';
@@ -90,7 +90,7 @@
     onSharers(sharers);
   }
 
-  private pace(): GossipPace {
-    return gossipPace(this.options.roster.countSharers());
+  private pace(): GossipTimings {
+    return gossipTimings(this.options.roster.countSharers());
   }
 }
--- a/packages/router/src/agreement/HostRoster.ts
+++ b/packages/router/src/agreement/HostRoster.ts
@@ -1,5 +1,5 @@
 import type { HostId, Millis, ZoneId } from '@camphorvane/core';
-import { isServing, hintLifetime, gossipPace, servingHosts } from '@camphorvane/decisions';
+import { isServing, gossipTtlMs, gossipTimings, servingHosts } from '@camphorvane/decisions';
 import type { HostHint } from '@camphorvane/peer/hints';
 import type { FleetMember } from '../host/ports.ts';
 import type { HostRecord } from './hostRecord.ts';
@@ -13,7 +13,7 @@
  */
 const RECORD_LIVES = 3;
 
-const LEAST_RECORD_LIFE_MS: Millis = 21_000;
+const MIN_RECORD_LIFE_MS: Millis = 21_000;
 
 /** Most time that one reading of the records counts for; the rest was an outage of the store. */
 const LONGEST_ROUND_MS: Millis = 5_000;
@@ -146,7 +146,7 @@
 
   /** Takes in what a host says of itself. */
   receive({ host, leaving, serving, nextMs }: HintHead, now: Millis): void {
-    const until = now + Math.max(LEAST_LIFE_MS, hintLifetime(nextMs));
+    const until = now + Math.max(LEAST_LIFE_MS, gossipTtlMs(nextMs));
     this.hints.set(host, { leaving, serving, until });
   }
 
@@ -300,7 +300,7 @@
 
   /** Gets how long a record counts that nobody renews. */
   recordLifeMs(): Millis {
-    return Math.max(LEAST_RECORD_LIFE_MS, gossipPace(this.countSharers()).recordMs * RECORD_LIVES);
+    return Math.max(MIN_RECORD_LIFE_MS, gossipTimings(this.countSharers()).recordMs * RECORD_LIVES);
   }
 
   /** A relay makes its own digests. */
@@ -339,7 +339,7 @@
   }
 
   private silentMs(): Millis {
-    return Math.max(LEAST_LIFE_MS, gossipPace(this.countSharers()).silentMs);
+    return Math.max(LEAST_LIFE_MS, gossipTimings(this.countSharers()).silentMs);
   }
 }
 
--- a/packages/router/src/agreement/OutageRates.ts
+++ b/packages/router/src/agreement/OutageRates.ts
@@ -1,5 +1,5 @@
 import type { Clock, HostId, Refusal, TeamConfig, TeamId, Tokens } from '@camphorvane/core';
-import { CountedRates } from '@camphorvane/decisions';
+import { DistributedRateLimiter } from '@camphorvane/decisions';
 import type { TeamRates } from '@camphorvane/peer';
 import { errAsync, okAsync } from 'neverthrow';
 import type { ResultAsync } from 'neverthrow';
@@ -31,7 +31,7 @@
   private readonly options: OutageRatesOptions;
 
   /** Equal parts: nobody is ever heard, so each other member is left its part. */
-  private readonly parts = new CountedRates({ over: 0, slackTokens: 0, windowMs: 1 });
+  private readonly parts = new DistributedRateLimiter({ over: 0, slackTokens: 0, windowMs: 1 });
 
   private sharers = '';
 
@@ -46,7 +46,7 @@
   /** {@inheritDoc TeamGate.setTeams} */
   setTeams(teams: readonly TeamConfig[]): void {
     this.options.shares.setTeams(teams);
-    this.parts.reshape(new Map(teams.map(({ id, rate }) => [id, rate])), this.now());
+    this.parts.reconfigure(new Map(teams.map(({ id, rate }) => [id, rate])), this.now());
   }
 
   /** {@inheritDoc TeamGate.charge} */
--- a/packages/router/src/agreement/PeerGossip.ts
+++ b/packages/router/src/agreement/PeerGossip.ts
@@ -1,7 +1,7 @@
 import type { Clock, HostId, Incarnation, Millis } from '@camphorvane/core';
 import { InterruptibleSleep, sleep } from '@camphorvane/core';
-import type { GossipPace } from '@camphorvane/decisions';
-import { gossipPace } from '@camphorvane/decisions';
+import type { GossipTimings } from '@camphorvane/decisions';
+import { gossipTimings } from '@camphorvane/decisions';
 import type { HintLink, HostDigest, HostHint } from '@camphorvane/peer/hints';
 import { stateLog } from '../observe/StateLog.ts';
 import type { HostRoster } from './HostRoster.ts';
@@ -252,7 +252,7 @@
     return false;
   }
 
-  private pace(): GossipPace {
-    return gossipPace(this.options.roster.countSharers());
+  private pace(): GossipTimings {
+    return gossipTimings(this.options.roster.countSharers());
   }
 }
--- a/packages/router/src/agreement/SharedRates.ts
+++ b/packages/router/src/agreement/SharedRates.ts
@@ -9,7 +9,7 @@
   Tokens,
 } from '@camphorvane/core';
 import { notRun } from '@camphorvane/core';
-import { CountedRates } from '@camphorvane/decisions';
+import { DistributedRateLimiter } from '@camphorvane/decisions';
 import type { RateTolerance } from '@camphorvane/decisions';
 import type { HostDigest, HostHint } from '@camphorvane/peer/hints';
 import { errAsync, okAsync } from 'neverthrow';
@@ -24,7 +24,7 @@
 export class SharedRates implements TeamGate {
   private readonly clock: Clock;
 
-  private readonly rates: CountedRates;
+  private readonly rates: DistributedRateLimiter;
 
   /** Rates that stand in the log; teams are set anew with each change of the servers too. */
   private logged: ReadonlyMap<TeamId, TeamRate> = new Map();
@@ -35,14 +35,14 @@
    */
   constructor(clock: Clock, tolerance: RateTolerance) {
     this.clock = clock;
-    this.rates = new CountedRates(tolerance);
+    this.rates = new DistributedRateLimiter(tolerance);
   }
 
   /** Takes changed teams into force. A team without a rate is not limited. */
   setTeams(teams: readonly TeamConfig[]): void {
     const limited = teams.filter((team) => team.rate.tokensPerSecond > 0);
     const rates = new Map(limited.map((team) => [team.id, team.rate]));
-    this.rates.reshape(rates, this.clock.now());
+    this.rates.reconfigure(rates, this.clock.now());
     limited.filter(({ id, rate }) => !isSameRate(rate, this.logged.get(id))).forEach(logRate);
     this.logged = rates;
   }
--- a/packages/router/src/agreement/StoreAgreement.ts
+++ b/packages/router/src/agreement/StoreAgreement.ts
@@ -1,11 +1,11 @@
 import type { Clock, HostId, Millis, ModelId } from '@camphorvane/core';
-import type { RateTolerance, RepeatAllowance, GossipPace } from '@camphorvane/decisions';
+import type { RateTolerance, RetryAllowance, GossipTimings } from '@camphorvane/decisions';
 import {
   EngineKnowledge,
-  RepeatBudget,
+  ServiceRetryBudget,
   SlowStart,
   SlowStartQuotas,
-  gossipPace,
+  gossipTimings,
 } from '@camphorvane/decisions';
 import type { PeerResponse } from '@camphorvane/peer';
 import type { HintLink } from '@camphorvane/peer/hints';
@@ -16,7 +16,7 @@
 import { LocalPlacer } from '../placing/LocalPlacer.ts';
 import type { RoleControl } from '../placing/RoleControl.ts';
 import { CrashGuard } from '../serving/CrashGuard.ts';
-import { serviceRepeats } from '../serving/teamRepeats.ts';
+import { serviceRetryGate } from '../serving/retryGates.ts';
 import { DeploymentFeed } from './DeploymentFeed.ts';
 import { SharedRates } from './SharedRates.ts';
 import type { AgreementContext, AgreementFactory, HostAgreement } from './HostAgreement.ts';
@@ -41,7 +41,7 @@
   /** See {@link HostRecord.strength}. */
   readonly strength: number;
   readonly tolerance: RateTolerance;
-  readonly repeats: RepeatAllowance;
+  readonly repeats: RetryAllowance;
   /** See {@link DeploymentFeed}; also whether requests end when their key is withdrawn. */
   readonly strictKeysMs: Millis | undefined;
   /** See {@link DeploymentFeedOptions.watchMs}. */
@@ -137,16 +137,16 @@
     });
     const sharers = (): number => this.hosts.countSharers();
     this.rates = new SharedRates(clock, options.tolerance);
-    this.repeats = serviceRepeats(new RepeatBudget(options.repeats, sharers));
+    this.repeats = serviceRetryGate(new ServiceRetryBudget(options.repeats, sharers));
     this.placer = new LocalPlacer({
       ...{ clock, random, directory, knowledge: this.knowledge, incarnation },
-      onNews: () => this.talk.noteNews(),
+      onStateChange: () => this.talk.noteNews(),
     });
     this.crashes = new CrashGuard({
       self: identity.host,
       clock,
       group: this,
-      suspicion: { crashes: CRASHES_TO_HOLD_BACK, memoryMs: HOLD_BACK_MS },
+      suspicion: { minUpstreams: CRASHES_TO_HOLD_BACK, retentionMs: HOLD_BACK_MS },
     });
     const { config, hosts, rates, knowledge } = this;
     const received = new HintReceiver({
@@ -266,8 +266,8 @@
     this.listeners.forEach((changed) => changed());
   }
 
-  private pace(): GossipPace {
-    return gossipPace(this.hosts.countSharers());
+  private pace(): GossipTimings {
+    return gossipTimings(this.hosts.countSharers());
   }
 
   /** A few hosts watch; the others are told by them, and read now and then. */
@@ -284,14 +284,14 @@
   private ownReport(): OwnReport {
     return {
       leaving: this.leaving,
-      engines: [...this.knowledge.use.getOwn()].map(([engine, use]) => ({ engine, ...use })),
+      engines: [...this.knowledge.inFlight.getOwn()].map(([engine, use]) => ({ engine, ...use })),
       charged: this.rates.getCharged(),
       demand: this.knowledge.demand
-        .getOwn()
+        .getOwnTotals()
         .map((one) => ({ ...one, onTimeWaiting: this.placer.countOnTime(one.model) })),
-      moves: this.knowledge.moves.getOwn(this.clock.now()),
-      down: this.placer.probes.getDown(),
-      calls: [...this.context.calls.getOwn()],
+      moves: this.knowledge.roleChanges.getOwnChanges(this.clock.now()),
+      down: this.placer.probes.getDownEngines(),
+      calls: [...this.context.calls.countLocal()],
       versions: this.config.getVersions(),
       drained: this.config.drains.get(),
     };
--- a/packages/router/src/host/Host.ts
+++ b/packages/router/src/host/Host.ts
@@ -156,7 +156,7 @@
     this.parts.directory.reshape(config);
     this.parts.keys.update(config);
     this.parts.agreement.rates.setTeams(config.teams);
-    this.parts.agreement.slowStart.reshape(slowStartBounds(config));
+    this.parts.agreement.slowStart.setBounds(slowStartBounds(config));
     this.parts.agreement.placer.refresh();
     this.parts.gates.refresh();
     const ended = this.parts.agreement.endsWithdrawn ? this.endWithdrawn() : 0;
--- a/packages/router/src/host/HostBackend.ts
+++ b/packages/router/src/host/HostBackend.ts
@@ -19,14 +19,14 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Metrics } from '../observe/Metrics.ts';
-import type { CompletionServing } from '../serving/CompletionServing.ts';
-import type { ServingEvent } from '../serving/completionWork.ts';
-import { TEXT_TERMS } from '../serving/completionWork.ts';
-import type { ServiceServing } from '../serving/ServiceServing.ts';
-import type { CallTerms } from '../serving/serviceWork.ts';
-import { MAX_TRIES } from '../serving/ServiceServing.ts';
-import { findRoute } from '../serving/findRoute.ts';
-import { MAX_SERVICE_WAIT_MS } from '../serving/ServiceGates.ts';
+import type { CompletionHandler } from '../serving/CompletionHandler.ts';
+import type { ServingEvent } from '../serving/resolvedCompletion.ts';
+import { NATIVE_COMPLETION_POLICY } from '../serving/resolvedCompletion.ts';
+import type { ServiceCallHandler } from '../serving/ServiceCallHandler.ts';
+import type { CallPolicy } from '../serving/resolvedCall.ts';
+import { MAX_CALL_ATTEMPTS } from '../serving/ServiceCallHandler.ts';
+import { findServiceRoute } from '../serving/findServiceRoute.ts';
+import { MAX_NATIVE_CALL_WAIT_MS } from '../serving/ServiceQueues.ts';
 import type { AuthenticatedCaller, Authenticator } from './Authenticator.ts';
 import type { InFlight } from './InFlight.ts';
 import type { ConfigSource, GroupGate } from './ports.ts';
@@ -58,8 +58,8 @@
   readonly group: GroupGate;
   readonly directory: UpstreamDirectory;
   readonly inFlight: InFlight;
-  readonly completions: CompletionServing;
-  readonly services: ServiceServing;
+  readonly completions: CompletionHandler;
+  readonly services: ServiceCallHandler;
   readonly metrics: Metrics;
   readonly isDraining: () => boolean;
 }
@@ -129,7 +129,7 @@
         class: req.class,
         caller: caller.value,
         config,
-        terms: TEXT_TERMS,
+        policy: NATIVE_COMPLETION_POLICY,
         signal: abort.signal,
       });
       for await (const event of events) {
@@ -162,14 +162,23 @@
     const caller = await this.accept(req.key);
     if (caller.isErr()) return err(caller.error);
     const service = this.options.directory.getService(req.service);
-    const route = service === undefined ? undefined : findRoute(service, req.method, req.path);
+    const route =
+      service === undefined ? undefined : findServiceRoute(service, req.method, req.path);
     if (service === undefined || route === undefined) {
       return err(notRun('unknown_service', 'No route of a service has this method and path.'));
     }
     const { abort, leave } = this.options.inFlight.join(id, caller.value, signal);
     try {
       const terms = this.callTerms(service);
-      const work = { id, req, terms, caller: caller.value, service, route, signal: abort.signal };
+      const work = {
+        id,
+        req,
+        policy: terms,
+        caller: caller.value,
+        service,
+        route,
+        signal: abort.signal,
+      };
       return await this.options.services.serve(work);
     } finally {
       leave();
@@ -192,12 +201,12 @@
     });
   }
 
-  private callTerms({ timeoutMs }: ServiceConfig): CallTerms {
+  private callTerms({ timeoutMs }: ServiceConfig): CallPolicy {
     return {
-      maxTries: MAX_TRIES,
+      maxAttempts: MAX_CALL_ATTEMPTS,
       claimed: true,
-      maxWaitMs: Math.min(MAX_SERVICE_WAIT_MS, timeoutMs),
-      deadlineAt: this.options.clock.now() + MAX_SERVICE_WAIT_MS + timeoutMs,
+      maxWaitMs: Math.min(MAX_NATIVE_CALL_WAIT_MS, timeoutMs),
+      deadlineAt: this.options.clock.now() + MAX_NATIVE_CALL_WAIT_MS + timeoutMs,
     };
   }
 
--- a/packages/router/src/host/assembleHost.ts
+++ b/packages/router/src/host/assembleHost.ts
@@ -1,13 +1,13 @@
 import type { CallerBackend, ForwardBackend } from '@camphorvane/caller';
 import { KeyRing } from '@camphorvane/store';
 import type { HostAgreement } from '../agreement/HostAgreement.ts';
-import { EngineWatch } from '../placing/EngineWatch.ts';
-import { ReservationKeeper } from '../placing/ReservationKeeper.ts';
-import { CallShares } from '../serving/CallShares.ts';
-import { CompletionServing } from '../serving/CompletionServing.ts';
-import { Forwarding } from '../serving/Forwarding.ts';
-import { ServiceGates } from '../serving/ServiceGates.ts';
-import { ServiceServing } from '../serving/ServiceServing.ts';
+import { EngineObserver } from '../placing/EngineObserver.ts';
+import { ReservationRenewer } from '../placing/ReservationRenewer.ts';
+import { ConcurrencyShares } from '../serving/ConcurrencyShares.ts';
+import { CompletionHandler } from '../serving/CompletionHandler.ts';
+import { ForwardHandler } from '../serving/ForwardHandler.ts';
+import { ServiceQueues } from '../serving/ServiceQueues.ts';
+import { ServiceCallHandler } from '../serving/ServiceCallHandler.ts';
 import { Authenticator } from './Authenticator.ts';
 import { HostBackend } from './HostBackend.ts';
 import type { HostOptions } from './HostOptions.ts';
@@ -27,9 +27,9 @@
   readonly agreement: HostAgreement;
   readonly keys: KeyRing;
   readonly directory: UpstreamDirectory;
-  readonly keeper: ReservationKeeper;
-  readonly watch: EngineWatch;
-  readonly gates: ServiceGates;
+  readonly keeper: ReservationRenewer;
+  readonly watch: EngineObserver;
+  readonly gates: ServiceQueues;
   readonly inFlight: InFlight;
   readonly backend: CallerBackend;
   readonly forwarding: ForwardBackend;
@@ -45,17 +45,17 @@
 export function assembleHost(options: HostOptions, hostGates: HostGates): HostParts {
   const { clock, random, identity, incarnation, metrics } = options;
   const directory = new UpstreamDirectory(options.engines, options.servers);
-  const calls = new CallShares();
+  const calls = new ConcurrencyShares();
   const agreement = options.agreement({ clock, random, identity, incarnation, directory, calls });
   const { config, group, rates, repeats, crashes, claims, placer, slowStart } = agreement;
   const keys = new KeyRing();
   const authenticator = new Authenticator(config, keys);
-  const keeper = new ReservationKeeper(clock, placer);
-  const watch = new EngineWatch(clock, placer);
+  const keeper = new ReservationRenewer(clock, placer);
+  const watch = new EngineObserver(clock, placer);
   const hostCount = (): number => group.members().length;
-  const gates = new ServiceGates(clock, random, directory, hostCount, calls, slowStart);
+  const gates = new ServiceQueues(clock, random, directory, hostCount, calls, slowStart);
   const inFlight = new InFlight();
-  const completions = new CompletionServing({
+  const completions = new CompletionHandler({
     self: identity.host,
     clock,
     directory,
@@ -64,18 +64,18 @@
     watch,
     metrics,
     rates,
-    repeats,
-    crashes,
+    retryGate: repeats,
+    crashGuard: crashes,
   });
-  const services = new ServiceServing({
+  const services = new ServiceCallHandler({
     clock,
     directory,
-    gates,
+    queues: gates,
     slowStart,
     rates,
     claims,
-    repeats,
-    crashes,
+    retryGate: repeats,
+    crashGuard: crashes,
     self: { host: identity.host, incarnation },
     metrics,
   });
@@ -90,6 +90,6 @@
     gates,
     inFlight,
     backend: new HostBackend({ ...shared, ...serving, ...hostGates, group, incarnation }),
-    forwarding: new Forwarding({ ...shared, ...serving, ...hostGates }),
+    forwarding: new ForwardHandler({ ...shared, ...serving, ...hostGates }),
   };
 }
--- a/packages/router/src/placing/StewardDesk.ts
+++ b/packages/router/src/placing/CoordinatorRegistry.ts
@@ -3,13 +3,13 @@
 import type { PeerRequest, PeerResponse } from '@camphorvane/peer';
 import type { GroupGate } from '../host/ports.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import { PoolSteward } from './PoolSteward.ts';
+import { PoolCoordinator } from './PoolCoordinator.ts';
 
 /** Milliseconds between two checks of which pools this host coordinates. */
 const REFRESH_PERIOD_MS: Millis = 250;
 
 /** Requests to the coordinator of a pool. */
-export type PlacingRequest = Extract<
+export type PlacementRequest = Extract<
   PeerRequest,
   {
     readonly type: 'reserve' | 'withdraw' | 'renew' | 'prefill_ended' | 'release' | 'observe';
@@ -26,8 +26,8 @@
   return `pool/${model}`;
 }
 
-/** Dependencies of {@link StewardDesk}. */
-export interface StewardDeskOptions {
+/** Dependencies of {@link CoordinatorRegistry}. */
+export interface CoordinatorRegistryOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly group: GroupGate;
@@ -37,15 +37,15 @@
 }
 
 /** Runs the coordinators of the pools assigned to this host and passes requests on to them. */
-export class StewardDesk {
-  private readonly options: StewardDeskOptions;
+export class CoordinatorRegistry {
+  private readonly options: CoordinatorRegistryOptions;
 
-  private readonly coordinators = new Map<ModelId, PoolSteward>();
+  private readonly coordinators = new Map<ModelId, PoolCoordinator>();
 
   private startedCount = 0;
 
   /** @param options - Dependencies. */
-  constructor(options: StewardDeskOptions) {
+  constructor(options: CoordinatorRegistryOptions) {
     this.options = options;
   }
 
@@ -55,7 +55,7 @@
    * @param req - The request.
    * @returns The response; `not_steward` where this host does not coordinate the pool.
    */
-  async answer(req: PlacingRequest): Promise<PeerResponse> {
+  async answer(req: PlacementRequest): Promise<PeerResponse> {
     const coordinator = this.coordinatorFor(req.model);
     if (coordinator === undefined) return { type: 'not_steward', epoch: 0 };
     switch (req.type) {
@@ -122,7 +122,7 @@
     this.coordinators.clear();
   }
 
-  private coordinatorFor(model: ModelId): PoolSteward | undefined {
+  private coordinatorFor(model: ModelId): PoolCoordinator | undefined {
     if (!this.mayCoordinate(model)) {
       this.coordinators.get(model)?.stop();
       this.coordinators.delete(model);
@@ -131,17 +131,17 @@
     return this.coordinators.get(model) ?? this.start(model);
   }
 
-  private start(model: ModelId): PoolSteward | undefined {
+  private start(model: ModelId): PoolCoordinator | undefined {
     const pool = this.options.directory.getPool(model);
     if (pool === undefined) return undefined;
     this.startedCount += 1;
-    const coordinator = new PoolSteward({
+    const coordinator = new PoolCoordinator({
       model,
       pool,
       clock: this.options.clock,
       random: this.options.random,
       directory: this.options.directory,
-      prefix: `${this.options.incarnation}.${this.startedCount}`,
+      reservationPrefix: `${this.options.incarnation}.${this.startedCount}`,
       mayAct: () => this.mayCoordinate(model),
     });
     this.coordinators.set(model, coordinator);
--- a/packages/router/src/placing/EngineWatch.ts
+++ b/packages/router/src/placing/EngineObserver.ts
@@ -19,7 +19,7 @@
 }
 
 /** Collects this host's observations of engines and passes them to the placer in batches. */
-export class EngineWatch {
+export class EngineObserver {
   private readonly clock: Clock;
 
   private readonly placer: Placer;
@@ -38,7 +38,7 @@
   }
 
   /** Adds the time between two tokens of one stream to the mean of the next batch. */
-  interval(model: ModelId, engine: UpstreamId, stream: string, ms: Millis): void {
+  recordTokenInterval(model: ModelId, engine: UpstreamId, stream: string, ms: Millis): void {
     const engines = this.intervals.get(model) ?? new Map<UpstreamId, IntervalSum>();
     const sum = engines.get(engine) ?? { totalMs: 0, count: 0, streams: new Set<string>() };
     sum.totalMs += ms;
@@ -49,7 +49,7 @@
   }
 
   /** Adds an observation to the next batch. */
-  seen(model: ModelId, observation: EngineObservation): void {
+  record(model: ModelId, observation: EngineObservation): void {
     const list = this.pending.get(model) ?? [];
     this.pending.set(model, [...list.slice(1 - MAX_PENDING), observation]);
   }
--- a/packages/router/src/placing/EngineProbes.ts
+++ b/packages/router/src/placing/EngineProbes.ts
@@ -79,7 +79,7 @@
    * Gets the engines to report to peers as down. None are reported where most are down: this host is then
    * more likely partitioned itself.
    */
-  getDown(): readonly UpstreamId[] {
+  getDownEngines(): readonly UpstreamId[] {
     const listed = this.options.directory.getEngineIds().length;
     return this.down.size > listed * MAX_DOWN_FRACTION ? [] : [...this.down];
   }
@@ -112,7 +112,7 @@
   private markDown(id: UpstreamId, reason: string): void {
     if (this.down.has(id)) return;
     this.down.add(id);
-    this.options.slowStart.unreachable(id);
+    this.options.slowStart.recordUnreachable(id);
     log('engine_down', { engine: id, reason });
     this.options.onChange();
   }
@@ -123,7 +123,7 @@
     this.answeredAt.set(id, this.options.clock.now());
     this.options.health.trust(id);
     if (reason === 'not_listed') this.answeredAt.delete(id);
-    else this.options.slowStart.answered(id, this.options.clock.now());
+    else this.options.slowStart.recordAnswer(id, this.options.clock.now());
     if (this.down.delete(id)) log('engine_up', { engine: id, reason });
     this.options.onChange();
   }
--- a/packages/router/src/placing/FallbackPlacer.ts
+++ b/packages/router/src/placing/FallbackPlacer.ts
@@ -9,7 +9,7 @@
 import type { AdoptedReservation, ReservationEnd, WorkItem } from '@camphorvane/decisions';
 import type { PeerResponse } from '@camphorvane/peer';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import { PoolSteward } from './PoolSteward.ts';
+import { PoolCoordinator } from './PoolCoordinator.ts';
 
 /** Milliseconds without a request after which the fallback of a pool is closed, if it holds nothing. */
 const IDLE_TIMEOUT_MS: Millis = 10_000;
@@ -26,7 +26,7 @@
 }
 
 interface ActiveFallback {
-  readonly coordinator: PoolSteward;
+  readonly coordinator: PoolCoordinator;
   lastUsed: Millis;
 }
 
@@ -101,7 +101,10 @@
     this.active.clear();
   }
 
-  private async withActive(model: ModelId, run: (coordinator: PoolSteward) => void): Promise<void> {
+  private async withActive(
+    model: ModelId,
+    run: (coordinator: PoolCoordinator) => void,
+  ): Promise<void> {
     const fallback = await this.active.get(model);
     if (fallback !== undefined) run(fallback.coordinator);
   }
@@ -122,15 +125,15 @@
     }
     const engines = await Promise.all(pool.engines.map((engine) => this.limitToShare(engine)));
     this.createdCount += 1;
-    const coordinator = new PoolSteward({
+    const coordinator = new PoolCoordinator({
       model,
       pool: { ...pool, engines: engines.flat() } satisfies PoolConfig,
       clock: this.options.clock,
       random: this.options.random,
       directory: this.options.directory,
-      prefix: `${this.options.incarnation}.f${this.createdCount}`,
+      reservationPrefix: `${this.options.incarnation}.f${this.createdCount}`,
       mayAct: () => true,
-      listenMs: 0,
+      rebuildMs: 0,
     });
     const fallback = { coordinator, lastUsed: this.options.clock.now() };
     this.closeWhenIdle(model, fallback);
--- a/packages/router/src/placing/LocalPlacer.ts
+++ b/packages/router/src/placing/LocalPlacer.ts
@@ -13,7 +13,7 @@
 import {
   LocalPlacement,
   LocalQueue,
-  meanMemory,
+  meanMemoryTokens,
   memorySteps,
   QUEUE_RECHECK_MS,
 } from '@camphorvane/decisions';
@@ -31,9 +31,9 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import { stateLog } from '../observe/StateLog.ts';
 import { EngineProbes } from './EngineProbes.ts';
-import { HeldWork } from './HeldWork.ts';
-import type { LocalPlacerOptions, LocalPool, ReserveAnswer } from './localPool.ts';
-import type { PlacedPair } from './Placer.ts';
+import { LocalReservations } from './LocalReservations.ts';
+import type { LocalPlacerOptions, LocalPool, ReserveResult } from './localPool.ts';
+import type { EnginePlacement } from './Placer.ts';
 
 const log = stateLog('placing');
 
@@ -52,7 +52,7 @@
 
   private readonly pools = new Map<ModelId, LocalPool>();
 
-  private readonly reservations: HeldWork;
+  private readonly reservations: LocalReservations;
 
   /** Timers of the next scheduling pass of pools with waiting requests. */
   private readonly recheckTimers = new Map<LocalPool, CancelTimer>();
@@ -62,16 +62,23 @@
   /** Probes of engines that may be down. */
   readonly probes: EngineProbes;
 
-  private readonly onChange: () => void;
+  private readonly onStateChange: () => void;
 
   /** @param options - Dependencies. */
-  constructor({ clock, random, directory, knowledge, incarnation, onNews }: LocalPlacerOptions) {
+  constructor({
+    clock,
+    random,
+    directory,
+    knowledge,
+    incarnation,
+    onStateChange,
+  }: LocalPlacerOptions) {
     this.random = random;
     this.clock = clock;
     this.directory = directory;
     this.knowledge = knowledge;
-    this.onChange = onNews;
-    this.reservations = new HeldWork(knowledge, incarnation);
+    this.onStateChange = onStateChange;
+    this.reservations = new LocalReservations(knowledge, incarnation);
     const { health, slowStart } = knowledge;
     this.probes = new EngineProbes({
       ...{ clock, directory, health, slowStart },
@@ -80,9 +87,9 @@
   }
 
   /** {@inheritDoc Placer.reserve} */
-  reserve(model: ModelId, item: WorkItem, signal: AbortSignal): Promise<ReserveAnswer> {
+  reserve(model: ModelId, item: WorkItem, signal: AbortSignal): Promise<ReserveResult> {
     const pool = this.poolFor(model);
-    if (item.avoid.length === 0) this.knowledge.demand.asked(model, item, this.clock.now());
+    if (item.avoid.length === 0) this.knowledge.demand.recordRequest(model, item, this.clock.now());
     return new Promise((resolve) => {
       const onAbort = (): void => {
         pool.queue.withdraw(item.request);
@@ -92,7 +99,7 @@
           err(notRun('caller_gone', 'The caller closed its connection.')),
         );
       };
-      const answer = (result: ReserveAnswer): void => {
+      const answer = (result: ReserveResult): void => {
         signal.removeEventListener('abort', onAbort);
         resolve(result);
       };
@@ -109,9 +116,9 @@
         lateAt: this.clock.now() + (item.onTimeMs ?? item.maxWaitMs),
         giveUpAt: this.clock.now() + item.maxWaitMs,
         promptTokens: item.promptTokens,
-        memoryTokens: meanMemory(item),
+        memoryTokens: meanMemoryTokens(item),
         memorySteps: memorySteps(item),
-        since: this.clock.now(),
+        submittedAt: this.clock.now(),
         avoid: item.avoid,
         longestPauseMs: item.longestPauseMs,
       });
@@ -123,7 +130,7 @@
   /** {@inheritDoc Placer.prefillEnded} */
   prefillEnded(model: ModelId, reservation: ReservationId, tookMs?: Millis): void {
     this.reservations.endPrefill(reservation, tookMs);
-    this.onChange();
+    this.onStateChange();
     this.scheduleModel(model);
   }
 
@@ -150,8 +157,8 @@
   async release(_model: ModelId, reservation: ReservationId, end: ReservationEnd): Promise<void> {
     const reserved = this.reservations.release(reservation, end);
     if (reserved === undefined) return;
-    this.onChange();
-    this.pools.get(reserved.model)?.queue.ended(reserved.team);
+    this.onStateChange();
+    this.pools.get(reserved.model)?.queue.requestEnded(reserved.team);
     this.scheduleModel(reserved.model);
   }
 
@@ -161,12 +168,12 @@
       case 'unreachable':
       case 'silent':
       case 'broken':
-        if (reachedNobody(error)) this.knowledge.slowStart.unreachable(engine);
-        this.knowledge.health.failed(engine, this.clock.now());
+        if (reachedNobody(error)) this.knowledge.slowStart.recordUnreachable(engine);
+        this.knowledge.health.recordFailure(engine, this.clock.now());
         this.probes.suspect(engine);
         break;
       case 'mismatch':
-        this.knowledge.health.failed(engine, this.clock.now());
+        this.knowledge.health.recordFailure(engine, this.clock.now());
         break;
       case 'rejected':
       case 'cancelled':
@@ -189,8 +196,8 @@
   /** {@inheritDoc ChangingPlacer.refresh} */
   refresh(): void {
     const engines = this.directory.getModels().flatMap((model) => this.enginesOf(model));
-    this.knowledge.moves.settle(engines, this.clock.now());
-    this.knowledge.health.keepOnly(new Set(this.directory.getEngineIds()));
+    this.knowledge.roleChanges.prune(engines, this.clock.now());
+    this.knowledge.health.retain(new Set(this.directory.getEngineIds()));
     this.pools.forEach((pool, model) => {
       this.updateEngines(pool, model);
       this.schedule(pool);
@@ -207,10 +214,10 @@
   dump(): object {
     const waiting = [...this.pools].map(([model, pool]) => [model, pool.queue.size] as const);
     return {
-      placed: this.reservations.count,
+      placed: this.reservations.totalCount,
       held: this.reservations.size,
       waiting: Object.fromEntries(waiting),
-      use: Object.fromEntries(this.knowledge.use.getOwn()),
+      use: Object.fromEntries(this.knowledge.inFlight.getOwn()),
     };
   }
 
@@ -218,10 +225,10 @@
     const now = this.clock.now();
     switch (observation.type) {
       case 'failed':
-        this.knowledge.health.failed(observation.engine, now);
+        this.knowledge.health.recordFailure(observation.engine, now);
         break;
       case 'recovered':
-        this.knowledge.health.succeeded(observation.engine);
+        this.knowledge.health.recordSuccess(observation.engine);
         break;
       case 'token_interval':
         this.recordTokenInterval(observation.engine, observation.meanMs);
@@ -237,7 +244,7 @@
 
   private recordTokenInterval(id: UpstreamId, meanMs: Millis): void {
     const tokens = this.directory.getEngine(id)?.cfg.eventTokens ?? 1;
-    this.knowledge.health.tokensTook(id, meanMs / tokens);
+    this.knowledge.health.recordTokenInterval(id, meanMs / tokens);
   }
 
   private poolFor(model: ModelId): LocalPool {
@@ -247,7 +254,7 @@
     const pool: LocalPool = {
       model,
       placement,
-      queue: new LocalQueue(placement, (now) => this.knowledge.waiting.sum(model, now)),
+      queue: new LocalQueue(placement, (now) => this.knowledge.peerBacklog.sum(model, now)),
       waiting: new Map(),
     };
     this.pools.set(model, pool);
@@ -256,7 +263,7 @@
   }
 
   private updateEngines(pool: LocalPool, model: ModelId): void {
-    pool.placement.reshape(this.enginesOf(model));
+    pool.placement.setEngines(this.enginesOf(model));
   }
 
   private enginesOf(model: ModelId): readonly EngineConfig[] {
@@ -269,7 +276,7 @@
   }
 
   private scheduleAll(): void {
-    this.onChange();
+    this.onStateChange();
     this.pools.forEach((pool) => this.schedule(pool));
   }
 
@@ -301,17 +308,17 @@
     }
   }
 
-  private place(pool: LocalPool, { request, pair, lacked }: PlaceDecision): void {
+  private place(pool: LocalPool, { request, pair, waitReason: lacked }: PlaceDecision): void {
     const waiting = pool.waiting.get(request);
     if (waiting === undefined) return;
     const { item } = waiting;
     const { model } = pool;
-    const memoryTokens = meanMemory(item);
+    const memoryTokens = meanMemoryTokens(item);
     const { team, promptTokens, longestPauseMs } = item;
     const reserved = { model, team, pair, promptTokens, longestPauseMs, memoryTokens };
-    const reservation = this.reservations.begin(reserved, this.clock.now());
-    this.onChange();
-    const placed: PlacedPair = {
+    const reservation = this.reservations.reserve(reserved, this.clock.now());
+    this.onStateChange();
+    const placed: EnginePlacement = {
       reservation,
       prefill: pair.prefill,
       decode: pair.decode,
@@ -322,7 +329,7 @@
       id: request,
       prefill: pair.prefill,
       decode: pair.decode,
-      expectedReadMs: Math.round(pair.readMs),
+      expectedReadMs: Math.round(pair.expectedPrefillMs),
       promptTokens: item.promptTokens,
       memoryTokens: Math.round(memoryTokens),
       waitedMs: Math.round(this.clock.now() - waiting.since),
@@ -331,7 +338,7 @@
     this.resolveRequest(pool, request, ok(placed));
   }
 
-  private resolveRequest(pool: LocalPool, request: RequestId, result: ReserveAnswer): void {
+  private resolveRequest(pool: LocalPool, request: RequestId, result: ReserveResult): void {
     const waiting = pool.waiting.get(request);
     pool.waiting.delete(request);
     waiting?.answer(result);
--- a/packages/router/src/placing/HeldWork.ts
+++ b/packages/router/src/placing/LocalReservations.ts
@@ -1,6 +1,6 @@
 import type { Millis, ReservationId, UpstreamId } from '@camphorvane/core';
 import type { EngineKnowledge, ReservationEnd } from '@camphorvane/decisions';
-import type { HeldReservation } from './localPool.ts';
+import type { LocalReservation } from './localPool.ts';
 
 /**
  * Tracks the engine memory, streams and queued prompts of this host's placed requests.
@@ -8,12 +8,12 @@
  * Everything a request uses is released however it ends. Peers receive the totals of each engine and
  * take them into account when they place requests.
  */
-export class HeldWork {
+export class LocalReservations {
   private readonly knowledge: EngineKnowledge;
 
   private readonly prefix: string;
 
-  private readonly reservations = new Map<ReservationId, HeldReservation>();
+  private readonly reservations = new Map<ReservationId, LocalReservation>();
 
   /** Reservations whose prefill has not finished. */
   private readonly prefilling = new Set<ReservationId>();
@@ -35,27 +35,27 @@
   }
 
   /** Gets the number of reservations made since the host started. */
-  get count(): number {
+  get totalCount(): number {
     return this.startedCount;
   }
 
   /** Gets an active reservation; undefined once it has been released. */
-  get(reservation: ReservationId): HeldReservation | undefined {
+  get(reservation: ReservationId): LocalReservation | undefined {
     return this.reservations.get(reservation);
   }
 
   /** Reserves the engines of a request that is placed now. */
-  begin(work: Omit<HeldReservation, 'wasIdle'>, now: Millis): ReservationId {
-    const { use } = this.knowledge;
+  reserve(work: Omit<LocalReservation, 'wasIdle'>, now: Millis): ReservationId {
+    const { inFlight: use } = this.knowledge;
     const { pair, promptTokens, memoryTokens } = work;
     const prefillAt = pair.prefill ?? pair.decode;
     const wasIdle = use.getTotal(prefillAt, now).prefillTokens === 0;
     this.startedCount += 1;
     const reservation = `${this.prefix}.p${this.startedCount}`;
-    use.change(prefillAt, { prefillTokens: promptTokens });
-    use.change(pair.decode, { streams: 1, memoryTokens });
+    use.adjust(prefillAt, { prefillTokens: promptTokens });
+    use.adjust(pair.decode, { streams: 1, memoryTokens });
     const { slowStart } = this.knowledge;
-    new Set([prefillAt, pair.decode]).forEach((engine) => slowStart.used(engine, now));
+    new Set([prefillAt, pair.decode]).forEach((engine) => slowStart.recordRequest(engine, now));
     this.prefilling.add(reservation);
     this.reservations.set(reservation, { ...work, wasIdle });
     return reservation;
@@ -73,11 +73,11 @@
     const { pair, promptTokens, wasIdle } = reserved;
     if (tookMs !== undefined && pair.prefill !== undefined) {
       const { health } = this.knowledge;
-      if (wasIdle) health.prefillTook(pair.prefill, promptTokens, tookMs);
-      health.succeeded(pair.prefill);
+      if (wasIdle) health.recordPrefill(pair.prefill, promptTokens, tookMs);
+      health.recordSuccess(pair.prefill);
     }
     if (!this.prefilling.delete(reservation)) return;
-    this.knowledge.use.change(pair.prefill ?? pair.decode, { prefillTokens: -promptTokens });
+    this.knowledge.inFlight.adjust(pair.prefill ?? pair.decode, { prefillTokens: -promptTokens });
   }
 
   /** Moves the stream and memory of a reservation to another decode engine. */
@@ -85,21 +85,21 @@
     const reserved = this.reservations.get(reservation);
     if (reserved === undefined) return;
     const { pair, memoryTokens } = reserved;
-    this.knowledge.use.change(pair.decode, { streams: -1, memoryTokens: -memoryTokens });
-    this.knowledge.use.change(decode, { streams: 1, memoryTokens });
-    this.knowledge.slowStart.used(decode, now);
+    this.knowledge.inFlight.adjust(pair.decode, { streams: -1, memoryTokens: -memoryTokens });
+    this.knowledge.inFlight.adjust(decode, { streams: 1, memoryTokens });
+    this.knowledge.slowStart.recordRequest(decode, now);
     this.reservations.set(reservation, { ...reserved, pair: { ...pair, decode } });
   }
 
   /** Releases a reservation and returns it; undefined where it has been released before. */
-  release(reservation: ReservationId, end: ReservationEnd): HeldReservation | undefined {
+  release(reservation: ReservationId, end: ReservationEnd): LocalReservation | undefined {
     const reserved = this.reservations.get(reservation);
     if (reserved === undefined) return undefined;
     this.endPrefill(reservation);
     this.reservations.delete(reservation);
     const { pair, memoryTokens } = reserved;
-    this.knowledge.use.change(pair.decode, { streams: -1, memoryTokens: -memoryTokens });
-    if (end === 'done') this.knowledge.health.succeeded(pair.decode);
+    this.knowledge.inFlight.adjust(pair.decode, { streams: -1, memoryTokens: -memoryTokens });
+    if (end === 'done') this.knowledge.health.recordSuccess(pair.decode);
     return reserved;
   }
 }
