--- a/packages/router/src/placing/PlacementClient.ts
+++ b/packages/router/src/placing/PlacementClient.ts
@@ -20,10 +20,10 @@
 import type { ChangingPlacer } from '../agreement/HostAgreement.ts';
 import type { GroupGate } from '../host/ports.ts';
 import type { FallbackPlacer } from './FallbackPlacer.ts';
-import type { PlacedPair } from './Placer.ts';
-import type { PlacingRequest, StewardDesk } from './StewardDesk.ts';
-import { poolKey } from './StewardDesk.ts';
-import { WAITING_ANSWER_MS } from './waitingAnswer.ts';
+import type { EnginePlacement } from './Placer.ts';
+import type { PlacementRequest, CoordinatorRegistry } from './CoordinatorRegistry.ts';
+import { poolKey } from './CoordinatorRegistry.ts';
+import { LONG_POLL_MS } from './longPoll.ts';
 
 /** Milliseconds allowed for the round trip on top of the coordinator's long-poll period. */
 const ASK_MARGIN_MS: Millis = 400;
@@ -49,7 +49,7 @@
   readonly clock: Clock;
   readonly group: GroupGate;
   readonly link: PeerLink;
-  readonly desk: StewardDesk;
+  readonly coordinators: CoordinatorRegistry;
   readonly fallback: FallbackPlacer;
 }
 
@@ -77,7 +77,7 @@
     model: ModelId,
     item: WorkItem,
     signal: AbortSignal,
-  ): Promise<Result<PlacedPair, Refusal>> {
+  ): Promise<Result<EnginePlacement, Refusal>> {
     const { clock } = this.options;
     const deadline = clock.now() + item.maxWaitMs;
     while (!signal.aborted) {
@@ -130,7 +130,7 @@
 
   /** Starts and stops coordinating pools according to the current group and configuration. */
   refresh(): void {
-    this.options.desk.refresh();
+    this.options.coordinators.refresh();
   }
 
   /** Not supported: a coordinator assigns both engines together; a new pair is a new reservation. */
@@ -153,11 +153,11 @@
    * @param timeoutMs - Timeout in milliseconds.
    * @returns The response; undefined where none came or the pool has no known coordinator.
    */
-  async ask(req: PlacingRequest, timeoutMs: Millis): Promise<PeerResponse | undefined> {
-    const { group, desk, link, self, clock } = this.options;
+  async ask(req: PlacementRequest, timeoutMs: Millis): Promise<PeerResponse | undefined> {
+    const { group, coordinators, link, self, clock } = this.options;
     const coordinator = group.stewardOf(poolKey(req.model));
     if (coordinator === undefined) return undefined;
-    if (coordinator.host === self) return desk.answer(req);
+    if (coordinator.host === self) return coordinators.answer(req);
     const res = await link.ask(coordinator, req satisfies PeerRequest, timeoutMs);
     if (res.isErr()) {
       this.unansweredAt.set(coordinator.host, clock.now());
@@ -174,7 +174,7 @@
       if (placed?.type === 'placed') return placed;
       this.options.fallback.withdraw(model, item.request);
     }
-    const timeoutMs = WAITING_ANSWER_MS[item.class] + ASK_MARGIN_MS;
+    const timeoutMs = LONG_POLL_MS[item.class] + ASK_MARGIN_MS;
     const res = await this.ask({ type: 'reserve', model, item }, timeoutMs);
     const isAnswered = res !== undefined && res.type !== 'not_steward';
     if (isAnswered || !isUrgent(item.class)) return res;
@@ -210,7 +210,7 @@
     this.notify({ type: 'withdraw', model, request });
   }
 
-  private notify(req: PlacingRequest): void {
+  private notify(req: PlacementRequest): void {
     void this.ask(req, SHORT_TIMEOUT_MS);
   }
 }
--- a/packages/router/src/placing/Placer.ts
+++ b/packages/router/src/placing/Placer.ts
@@ -9,7 +9,7 @@
 import type { Result } from 'neverthrow';
 
 /** Engines reserved for a request. */
-export interface PlacedPair {
+export interface EnginePlacement {
   readonly reservation: ReservationId;
   /** Undefined where the decode engine runs the prefill itself. */
   readonly prefill?: UpstreamId;
@@ -33,7 +33,7 @@
     model: ModelId,
     item: WorkItem,
     signal: AbortSignal,
-  ): Promise<Result<PlacedPair, Refusal>>;
+  ): Promise<Result<EnginePlacement, Refusal>>;
 
   /**
    * Moves a reservation whose prefill is complete to another decode engine, after the reserved one did
--- a/packages/router/src/placing/PoolSteward.ts
+++ b/packages/router/src/placing/PoolCoordinator.ts
@@ -18,7 +18,7 @@
 } from '@camphorvane/decisions';
 import type { PeerResponse } from '@camphorvane/peer';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import { WAITING_ANSWER_MS } from './waitingAnswer.ts';
+import { LONG_POLL_MS } from './longPoll.ts';
 
 /**
  * Milliseconds after which a waiting request is dropped unless its holder polls again: the holder has
@@ -45,17 +45,17 @@
   cancelTimer: CancelTimer;
 }
 
-/** Dependencies of {@link PoolSteward}. */
-export interface PoolStewardOptions {
+/** Dependencies of {@link PoolCoordinator}. */
+export interface PoolCoordinatorOptions {
   readonly model: ModelId;
   readonly pool: PoolConfig;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly directory: UpstreamDirectory;
   /** Prefix of reservation ids; unique to each coordinator and each of its starts. */
-  readonly prefix: string;
+  readonly reservationPrefix: string;
   /** Milliseconds for which it only collects reservations at its start; by default {@link REBUILD_MS}. */
-  readonly listenMs?: Millis;
+  readonly rebuildMs?: Millis;
   /** Tells whether this host may still coordinate the pool; checked before each decision. */
   readonly mayAct: () => boolean;
 }
@@ -65,8 +65,8 @@
  *
  * The scheduler makes all decisions; this class passes events to it and applies its decisions.
  */
-export class PoolSteward {
-  private readonly options: PoolStewardOptions;
+export class PoolCoordinator {
+  private readonly options: PoolCoordinatorOptions;
 
   private readonly scheduler: FairPoolScheduler;
 
@@ -81,14 +81,14 @@
   private cancelWake: CancelTimer = () => undefined;
 
   /** @param options - Dependencies. */
-  constructor(options: PoolStewardOptions) {
+  constructor(options: PoolCoordinatorOptions) {
     this.options = options;
     this.pool = options.pool;
     this.scheduler = new FairPoolScheduler(options.pool, {
       random: options.random,
-      reservationPrefix: options.prefix,
+      reservationPrefix: options.reservationPrefix,
     });
-    const rebuildMs = options.listenMs ?? REBUILD_MS;
+    const rebuildMs = options.rebuildMs ?? REBUILD_MS;
     this.rebuildUntil = options.clock.now() + rebuildMs;
     options.clock.after(rebuildMs, () => this.runScheduler());
     options.pool.engines.forEach((engine) => {
@@ -113,7 +113,7 @@
       };
       entry.responders.push(resolve);
       entry.cancelTimer();
-      entry.cancelTimer = this.options.clock.after(WAITING_ANSWER_MS[item.class], () =>
+      entry.cancelTimer = this.options.clock.after(LONG_POLL_MS[item.class], () =>
         this.respondWaiting(item.request),
       );
       this.waiting.set(item.request, entry);
@@ -172,7 +172,7 @@
       .forEach((engine) => {
         void this.pollLoad(engine.id);
       });
-    this.scheduler.reshape(pool, this.now());
+    this.scheduler.reconfigure(pool, this.now());
     this.runScheduler();
   }
 
--- a/packages/router/src/placing/ReservationKeeper.ts
+++ b/packages/router/src/placing/ReservationRenewer.ts
@@ -10,7 +10,7 @@
 const RENEW_TIMEOUT_MS: Millis = 900;
 
 /** A reservation used by a request on this host. */
-export interface KeptReservation {
+export interface TrackedReservation {
   readonly model: ModelId;
   /** Called when the coordinator has lost the reservation and may assign its memory to others. */
   readonly onLost: () => void;
@@ -22,12 +22,12 @@
  *
  * From the renewals a new coordinator also learns of the reservations made by its predecessor.
  */
-export class ReservationKeeper {
+export class ReservationRenewer {
   private readonly clock: Clock;
 
   private readonly placer: Placer;
 
-  private readonly tracked = new Map<ReservationId, KeptReservation>();
+  private readonly tracked = new Map<ReservationId, TrackedReservation>();
 
   /**
    * @param clock - Times the renewals.
@@ -44,12 +44,12 @@
   }
 
   /** Starts to renew a reservation, or updates its state. */
-  keep(reservation: KeptReservation): void {
+  track(reservation: TrackedReservation): void {
     this.tracked.set(reservation.state.reservation, reservation);
   }
 
   /** Stops renewing a reservation. */
-  drop(reservation: ReservationId): void {
+  untrack(reservation: ReservationId): void {
     this.tracked.delete(reservation);
   }
 
--- a/packages/router/src/placing/RoleControl.ts
+++ b/packages/router/src/placing/RoleControl.ts
@@ -1,7 +1,7 @@
 import type { Clock, EngineRole, Millis, ModelId, UpstreamId } from '@camphorvane/core';
 import { sleep } from '@camphorvane/core';
 import type { EngineKnowledge, RoleDecision, RoleView } from '@camphorvane/decisions';
-import { RoleShifter } from '@camphorvane/decisions';
+import { RoleRebalancer } from '@camphorvane/decisions';
 import type { StoreLease } from '@camphorvane/store';
 import type { UpstreamError } from '@camphorvane/upstream';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
@@ -75,7 +75,7 @@
 export class RoleControl {
   private readonly options: RoleControlOptions;
 
-  private readonly shifters = new Map<ModelId, RoleShifter>();
+  private readonly shifters = new Map<ModelId, RoleRebalancer>();
 
   /** Last logged decision of each pool; an unchanged decision is not logged again. */
   private readonly lastLogged = new Map<ModelId, string>();
@@ -102,7 +102,7 @@
     const { clock, directory, knowledge, rank } = this.options;
     const engines = directory.getPool(model)?.engines ?? [];
     const now = clock.now();
-    knowledge.moves.settle(engines, now);
+    knowledge.roleChanges.prune(engines, now);
     this.countEngines(model);
     const hostsBefore = rank();
     if (hostsBefore === undefined || hostsBefore >= DECIDING_HOSTS) return;
@@ -126,8 +126,8 @@
       log('lease_not_held', { reason: state.reason });
       return;
     }
-    const until = clock.now() + view.switchMs + MAX_SWITCH_OVERRUN_MS;
-    engines.forEach((engine) => knowledge.moves.begin(engine, role, until));
+    const until = clock.now() + view.roleSwitchMs + MAX_SWITCH_OVERRUN_MS;
+    engines.forEach((engine) => knowledge.roleChanges.begin(engine, role, until));
     announce();
     await sleep(clock, ORDER_DELAY_MS);
     await Promise.all(engines.map((engine) => this.orderRole(engine, role)));
@@ -142,7 +142,7 @@
     metrics.count('role.order', { role, outcome });
     // An unanswered order may still be executed, so the engine stays out of use until then.
     if (outcome === 'taken' || outcome === 'unanswered') return;
-    knowledge.moves.takeBack(id, clock.now());
+    knowledge.roleChanges.revoke(id, clock.now());
     announce();
   }
 
@@ -174,10 +174,10 @@
     return state.type === 'held' ? state.fence : undefined;
   }
 
-  private shifterFor(model: ModelId): RoleShifter {
+  private shifterFor(model: ModelId): RoleRebalancer {
     const known = this.shifters.get(model);
     if (known !== undefined) return known;
-    const shifter = new RoleShifter();
+    const shifter = new RoleRebalancer();
     this.shifters.set(model, shifter);
     return shifter;
   }
@@ -187,8 +187,8 @@
     const { forecast } = decision;
     const reason = decision.type === 'move' ? decision.engines.join(' ') : decision.reason;
     const split =
-      forecast && `${forecast.present.prefillEngines}+${forecast.present.decodeEngines}`;
-    const wanted = forecast && `${forecast.wanted.prefillEngines}+${forecast.wanted.decodeEngines}`;
+      forecast && `${forecast.current.prefillEngines}+${forecast.current.decodeEngines}`;
+    const wanted = forecast && `${forecast.target.prefillEngines}+${forecast.target.decodeEngines}`;
     const logged = `${decision.type} ${reason} ${split} ${wanted}`;
     if (this.lastLogged.get(model) === logged) return;
     this.lastLogged.set(model, logged);
@@ -198,11 +198,11 @@
       reason,
       split,
       wanted,
-      lateNow: forecast && toThousandths(forecast.lateNow),
-      lateThen: forecast && toThousandths(forecast.lateThen),
+      lateNow: forecast && toThousandths(forecast.currentLateShare),
+      lateThen: forecast && toThousandths(forecast.targetLateShare),
       requests: forecast?.requests,
-      readPerMs: toThousandths(view.readPerMs),
-      tokenMs: toThousandths(view.tokenMs),
+      readPerMs: toThousandths(view.prefillTokensPerMs),
+      tokenMs: toThousandths(view.tokenIntervalMs),
       onTimeMs: Math.round(view.onTimeMs),
     });
   }
@@ -211,7 +211,7 @@
     const { clock, directory, knowledge, metrics } = this.options;
     const now = clock.now();
     const states = (directory.getPool(model)?.engines ?? []).map(({ id, role }) =>
-      knowledge.moves.roleOf(id, now) === undefined ? role : 'changing',
+      knowledge.roleChanges.getTargetRole(id, now) === undefined ? role : 'changing',
     );
     (['prefill', 'decode', 'changing'] as const).forEach((state) =>
       metrics.gauge('engines', states.filter((one) => one === state).length, { state }),
--- a/packages/router/src/placing/localPool.ts
+++ b/packages/router/src/placing/localPool.ts
@@ -17,20 +17,20 @@
 } from '@camphorvane/decisions';
 import type { Result } from 'neverthrow';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import type { PlacedPair } from './Placer.ts';
+import type { EnginePlacement } from './Placer.ts';
 
 /** Engines for a request, or why it was refused. */
-export type ReserveAnswer = Result<PlacedPair, Refusal>;
+export type ReserveResult = Result<EnginePlacement, Refusal>;
 
 /** A request that waits for engines. */
 export interface WaitingRequest {
   readonly item: WorkItem;
   readonly since: Millis;
-  readonly answer: (answer: ReserveAnswer) => void;
+  readonly answer: (answer: ReserveResult) => void;
 }
 
 /** Engines and memory used by a placed request. */
-export interface HeldReservation {
+export interface LocalReservation {
   readonly model: ModelId;
   readonly team: TeamId;
   readonly pair: EnginePair;
@@ -64,5 +64,5 @@
    * Called when a reservation is made or released, when a prefill ends, and when an engine is found down
    * or up, so that peers learn of it soon.
    */
-  readonly onNews: () => void;
+  readonly onStateChange: () => void;
 }
--- a/packages/router/src/placing/waitingAnswer.ts
+++ b/packages/router/src/placing/longPoll.ts
@@ -6,7 +6,7 @@
  * A coordinator that sends no answer for longer counts as silent. For lookups this must be detected well
  * within the target for the first token; for the other classes fewer messages matter more.
  */
-export const WAITING_ANSWER_MS: Readonly<Record<WorkClass, Millis>> = {
+export const LONG_POLL_MS: Readonly<Record<WorkClass, Millis>> = {
   lookup: 200,
   certificate: 500,
   summary: 2_000,
--- a/packages/router/src/placing/roleView.ts
+++ b/packages/router/src/placing/roleView.ts
@@ -1,7 +1,7 @@
 import type { EngineConfig, Millis, ModelId } from '@camphorvane/core';
 import { TOKENS_PER_PIECE } from '@camphorvane/core';
-import type { EngineKnowledge, RoleView, ShiftableEngine } from '@camphorvane/decisions';
-import { MEMORY_PART } from '@camphorvane/decisions';
+import type { EngineKnowledge, RoleView, EngineRoleState } from '@camphorvane/decisions';
+import { MEMORY_FILL_LIMIT } from '@camphorvane/decisions';
 
 /** Inputs of {@link roleView}. */
 export interface RoleViewSources {
@@ -24,8 +24,8 @@
   const { model, engines, knowledge, holdBackMs, now } = sources;
   const { health, demand } = knowledge;
   const ids = engines.map(({ id }) => id);
-  const readPerMs = health.meanReadPerMs(ids);
-  const tokenMs = health.meanTokenMs(ids);
+  const readPerMs = health.meanPrefillTokensPerMs(ids);
+  const tokenMs = health.meanTokenIntervalMs(ids);
   const onTimeMs = demand.getOnTimeMs(model);
   const switchMs = engines[0]?.roleSwitchMs;
   if (readPerMs === undefined || tokenMs === undefined) return undefined;
@@ -33,22 +33,22 @@
   const pieces = Math.min(...engines.map(({ memoryPieces }) => memoryPieces));
   return {
     engines: engines.map((cfg) => toShiftable(cfg, knowledge, now)),
-    spans: demand.getSpans(model, now),
-    readPerMs,
-    memoryTokens: pieces * TOKENS_PER_PIECE * MEMORY_PART,
-    tokenMs,
+    buckets: demand.getBuckets(model, now),
+    prefillTokensPerMs: readPerMs,
+    memoryTokens: pieces * TOKENS_PER_PIECE * MEMORY_FILL_LIMIT,
+    tokenIntervalMs: tokenMs,
     onTimeMs,
-    switchMs,
+    roleSwitchMs: switchMs,
     holdBackMs,
   };
 }
 
 function toShiftable(
   { id, zone, role }: EngineConfig,
-  { use, health, moves }: EngineKnowledge,
+  { inFlight: use, health, roleChanges: moves }: EngineKnowledge,
   now: Millis,
-): ShiftableEngine {
-  const target = moves.roleOf(id, now);
+): EngineRoleState {
+  const target = moves.getTargetRole(id, now);
   const { prefillTokens, memoryTokens } = use.getTotal(id, now);
   return {
     id,
--- a/packages/router/src/serving/CompletionAttempt.ts
+++ b/packages/router/src/serving/CompletionAttempt.ts
@@ -3,13 +3,13 @@
 import type { DecodeEvent, ModelEngine, PrefillResult, UpstreamError } from '@camphorvane/upstream';
 import { reachedNobody } from '@camphorvane/upstream';
 import { stateLog } from '../observe/StateLog.ts';
-import { endedEarly, endOf, engineGone, unconfigured } from './attemptEnds.ts';
-import { StallWatch } from './StallWatch.ts';
+import { streamTruncated, reservationEnd, engineGone, unconfigured } from './attemptEnds.ts';
+import { StallDetector } from './StallDetector.ts';
 import type {
   AttemptEvent,
   AttemptOutcome,
   AttemptPlan,
-  AttemptTools,
+  AttemptDependencies,
   FailedAttempt,
 } from './completionAttemptPlan.ts';
 
@@ -34,7 +34,7 @@
  * caller that disconnected must not occupy engine memory.
  */
 export class CompletionAttempt {
-  private readonly tools: AttemptTools;
+  private readonly tools: AttemptDependencies;
 
   private readonly plan: AttemptPlan;
 
@@ -53,7 +53,7 @@
    * @param tools - Components of the host.
    * @param plan - Input of the attempt.
    */
-  constructor(tools: AttemptTools, plan: AttemptPlan) {
+  constructor(tools: AttemptDependencies, plan: AttemptPlan) {
     this.tools = tools;
     this.plan = plan;
     this.decodeEngine = plan.placement.decode;
@@ -114,7 +114,7 @@
     while (outcome.type === 'failed' && !outcome.error.dispatched && clock.now() < until) {
       rejectedBy.push(engine.id);
       if (this.abort.signal.aborted) return outcome;
-      if (!reachedNobody(outcome.error) && !this.plan.mayRepeat()) return outcome;
+      if (!reachedNobody(outcome.error) && !this.plan.tryRetry()) return outcome;
       const next = await this.nextDecodeEngine(rejectedBy, until);
       if (next === undefined) return outcome;
       engine = next;
@@ -149,7 +149,7 @@
         attempt: placement.reservation,
         model: pool.model,
         prompt: this.plan.prompt,
-        continuation: this.plan.delivered,
+        continuation: this.plan.deliveredText,
         priority: placement.priority,
       },
       this.abort.signal,
@@ -162,7 +162,7 @@
     metrics.count('prefill.tokens', {}, result.value.promptTokens);
     const id = this.plan.identity.request;
     log('prefilled', { id, engine: engine.id, tookMs: Math.round(tookMs) });
-    watch.seen(pool.model, {
+    watch.record(pool.model, {
       type: 'prefill_done',
       engine: engine.id,
       tokens: result.value.promptTokens,
@@ -219,7 +219,7 @@
     const stall = this.detectStall(engine);
     try {
       for await (const event of stream) {
-        stall.progress();
+        stall.recordProgress();
         if (event.isErr()) {
           if (delivered === 0 && prefill !== undefined) {
             this.tools.metrics.count('prefill.wasted_tokens', {}, prefill.promptTokens);
@@ -252,16 +252,16 @@
     } finally {
       stall.close();
     }
-    return this.failed(engine.id, 'decode', endedEarly());
+    return this.failed(engine.id, 'decode', streamTruncated());
   }
 
   /** Aborts the attempt if its engine disappears, so that another engine can resume the stream. */
-  private detectStall(engine: ModelEngine): StallWatch {
-    return new StallWatch({
+  private detectStall(engine: ModelEngine): StallDetector {
+    return new StallDetector({
       clock: this.tools.clock,
       silentMs: STALL_TIMEOUT_MS,
-      isThere: async () => (await engine.load()).isOk(),
-      onGone: () => {
+      probe: async () => (await engine.load()).isOk(),
+      onEngineGone: () => {
         this.isEngineGone = true;
         this.tools.metrics.count('attempt.engine_gone');
         this.abort.abort();
@@ -284,7 +284,7 @@
     const now = this.tools.clock.now();
     if (lastAt !== undefined) {
       const { pool, placement } = this.plan;
-      this.tools.watch.interval(pool.model, engine, placement.reservation, now - lastAt);
+      this.tools.watch.recordTokenInterval(pool.model, engine, placement.reservation, now - lastAt);
       this.tools.metrics.timing('request.token_interval', now - lastAt);
     }
     return now;
@@ -293,7 +293,7 @@
   private registerReservation(prefillRunning: boolean): void {
     const { placement, identity, pool } = this.plan;
     if (this.isReservationLost) return;
-    this.tools.keeper.keep({
+    this.tools.keeper.track({
       model: pool.model,
       onLost: () => {
         this.isReservationLost = true;
@@ -314,7 +314,7 @@
   private cleanUp(outcome: AttemptOutcome | undefined, callerGone: boolean): void {
     const { placement, pool } = this.plan;
     this.abort.abort();
-    this.tools.keeper.drop(placement.reservation);
+    this.tools.keeper.untrack(placement.reservation);
     if (outcome?.type !== 'done') {
       const { prefill } = placement;
       if (prefill !== undefined) void this.engine(prefill)?.cancel(placement.reservation);
@@ -323,7 +323,7 @@
     void this.tools.placements.release(
       pool.model,
       placement.reservation,
-      endOf(outcome, callerGone),
+      reservationEnd(outcome, callerGone),
     );
   }
 
@@ -342,7 +342,7 @@
     const id = this.plan.identity.request;
     log('attempt_failed', { id, engine, stage, error: error.type, dispatched, message });
     if (error.type === 'unreachable') {
-      this.tools.watch.seen(this.plan.pool.model, { type: 'failed', engine, reason: 'down' });
+      this.tools.watch.record(this.plan.pool.model, { type: 'failed', engine, reason: 'down' });
     }
     return { type: 'failed', engine, stage, error };
   }
--- a/packages/router/src/serving/CompletionServing.ts
+++ b/packages/router/src/serving/CompletionHandler.ts
@@ -6,30 +6,30 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { RateCharge, RateGate, RepeatGate } from '../host/ports.ts';
-import type { PlacedPair } from '../placing/Placer.ts';
+import type { EnginePlacement } from '../placing/Placer.ts';
 import type {
   AttemptEvent,
   AttemptOutcome,
-  AttemptTools,
+  AttemptDependencies,
   FailedAttempt,
 } from './completionAttemptPlan.ts';
 import { CompletionAttempt } from './CompletionAttempt.ts';
 import type { CrashGuard } from './CrashGuard.ts';
 import { CompletionProgress } from './CompletionProgress.ts';
-import { endReason } from './endReason.ts';
+import { abortRefusal } from './abortRefusal.ts';
 import { RateQueue } from './RateQueue.ts';
-import type { KnownCompletion, ServingEvent } from './completionWork.ts';
+import type { ResolvedCompletion, ServingEvent } from './resolvedCompletion.ts';
 import {
-  digestOf,
-  endEvent,
-  MAX_ATTEMPTS,
-  mayHaveRun,
-  repeatTarget,
-  usedTokens,
-  wasGivenAway,
-} from './completionWork.ts';
+  completionDigest,
+  finalEvent,
+  MAX_COMPLETION_ATTEMPTS,
+  attemptMayHaveExecuted,
+  completionRetryTarget,
+  chargeableTokens,
+  mayHaveExecuted,
+} from './resolvedCompletion.ts';
 import { promptPrefixes } from './promptPrefixes.ts';
-import { waitBound } from './waitBound.ts';
+import { maxQueueWait } from './maxQueueWait.ts';
 
 /**
  * Longest pause of a stream, in milliseconds, while it resumes at another engine. Clients of the OpenAI
@@ -51,21 +51,21 @@
 };
 
 /** Options of a `CompletionHandler`. */
-export interface CompletionServingOptions extends AttemptTools {
+export interface CompletionHandlerOptions extends AttemptDependencies {
   readonly self: HostId;
   readonly rates: RateGate;
-  readonly repeats: RepeatGate;
-  readonly crashes: CrashGuard;
+  readonly retryGate: RepeatGate;
+  readonly crashGuard: CrashGuard;
 }
 
 /** Serves completions: charges the team, reserves engines, runs and resumes attempts, refunds the rest. */
-export class CompletionServing {
-  private readonly options: CompletionServingOptions;
+export class CompletionHandler {
+  private readonly options: CompletionHandlerOptions;
 
   private readonly queue: RateQueue;
 
   /** @param options - Identity and components of the host. */
-  constructor(options: CompletionServingOptions) {
+  constructor(options: CompletionHandlerOptions) {
     this.options = options;
     this.queue = new RateQueue(options.clock, options.rates);
   }
@@ -76,7 +76,7 @@
    * @param completion - The completion.
    * @returns Its events; the last one is `done`, `answer` or `refused`.
    */
-  async *serve(completion: KnownCompletion): AsyncGenerator<ServingEvent> {
+  async *serve(completion: ResolvedCompletion): AsyncGenerator<ServingEvent> {
     const pool = this.poolFor(completion);
     if (pool.isErr()) {
       yield { type: 'refused', refusal: pool.error };
@@ -88,7 +88,7 @@
         team: completion.caller.team,
         class: completion.class,
         tokens: promptTokens(completion.prompt) + completion.maxTokens,
-        maxWaitMs: waitBound(
+        maxWaitMs: maxQueueWait(
           completion.config,
           pool.value,
           completion.caller.team.id,
@@ -105,7 +105,7 @@
   }
 
   private async *serveCharged(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
     charge: RateCharge,
     acceptedAt: Millis,
@@ -113,23 +113,23 @@
     const progress = new CompletionProgress(
       promptTokens(completion.prompt),
       acceptedAt,
-      digestOf(completion),
-      completion.terms.fromPosition,
+      completionDigest(completion),
+      completion.policy.fromPosition,
     );
     try {
       yield* this.attempts(completion, pool, progress);
     } finally {
-      const used = usedTokens(completion, progress, charge);
+      const used = chargeableTokens(completion, progress, charge);
       this.options.rates.refund(charge, Math.max(0, charge.tokens - used));
     }
   }
 
   private async *attempts(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
   ): AsyncGenerator<ServingEvent> {
-    let attemptsLeft = MAX_ATTEMPTS;
+    let attemptsLeft = MAX_COMPLETION_ATTEMPTS;
     while (attemptsLeft > 0) {
       attemptsLeft -= 1;
       const placement = await this.reserveNext(completion, pool, progress);
@@ -139,8 +139,8 @@
       }
       const outcome = yield* this.attempt(completion, pool, progress, placement.value);
       if (outcome.type !== 'failed') {
-        this.options.crashes.succeeded(progress.digest);
-        yield endEvent(outcome, progress);
+        this.options.crashGuard.recordSuccess(progress.digest);
+        yield finalEvent(outcome, progress);
         return;
       }
       const refusal = this.refusalAfter(completion, pool, progress, outcome);
@@ -154,14 +154,14 @@
 
   /** Reserves engines for the next attempt, unless the request has been quarantined. */
   private async reserveNext(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
-  ): Promise<Result<PlacedPair, Refusal>> {
-    const quarantined = this.options.crashes.refusalFor(progress.digest);
+  ): Promise<Result<EnginePlacement, Refusal>> {
+    const quarantined = this.options.crashGuard.refusalFor(progress.digest);
     if (quarantined !== undefined) return err(quarantined);
     const placement = await this.reserve(completion, pool, progress);
-    const isFirst = progress.getAvoided().length === 0;
+    const isFirst = progress.getAvoidedEngines().length === 0;
     return placement.map((pair) => {
       if (isFirst) this.recordFirstAttempt(completion, pool, pair);
       return pair;
@@ -169,45 +169,48 @@
   }
 
   private recordFirstAttempt(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
-    pair: PlacedPair,
+    pair: EnginePlacement,
   ): void {
     const now = this.options.clock.now();
     const engines = [pair.prefill, pair.decode].filter((engine) => engine !== undefined);
     const request = { team: completion.caller.team.id, service: pool.model };
-    this.options.repeats.attempted(request, engines, now);
+    this.options.retryGate.attempted(request, engines, now);
   }
 
   /** Decides whether another attempt follows a failed one; gets the refusal if none does. */
   private refusalAfter(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
     outcome: FailedAttempt,
   ): Refusal | undefined {
-    progress.noteFailure(outcome.engine);
-    if (mayHaveRun(completion, outcome)) progress.noteRun();
+    progress.recordFailure(outcome.engine);
+    if (attemptMayHaveExecuted(completion, outcome)) progress.recordExecution();
     if (completion.signal.aborted) return enginesFailed();
-    this.options.crashes.failed(progress.digest, outcome.engine, outcome.error);
-    if (progress.getRuns() >= completion.terms.maxRuns) return enginesFailed();
+    this.options.crashGuard.recordFailure(progress.digest, outcome.engine, outcome.error);
+    if (progress.getExecutionCount() >= completion.policy.maxExecutions) return enginesFailed();
     const now = this.options.clock.now();
     const plan = planResume(
       {
-        idempotent: completion.terms.resumable || progress.getRuns() === 0,
+        idempotent: completion.policy.resumable || progress.getExecutionCount() === 0,
         promptTokens: progress.promptTokens,
-        deliveredTokens: progress.getPosition(),
+        deliveredTokens: progress.getNextPosition(),
         maxOutputTokens: completion.maxTokens,
-        patienceMs: MAX_RESUME_PAUSE_MS,
+        maxPauseMs: MAX_RESUME_PAUSE_MS,
         kv: undefined,
       },
       {
         prefillWaitMs: 0,
-        prefillRate: MIN_PREFILL_TOKENS_PER_MS,
+        prefillTokensPerMs: MIN_PREFILL_TOKENS_PER_MS,
         transferMs: (piecesFor(progress.promptTokens) / pool.linkPiecesPerSecond) * MS_PER_SECOND,
         mayRetry: () =>
           reachedNobody(outcome.error) ||
-          this.options.repeats.tryRepeat(repeatTarget(completion, pool, outcome.engine), now),
+          this.options.retryGate.tryRepeat(
+            completionRetryTarget(completion, pool, outcome.engine),
+            now,
+          ),
       },
       now,
     );
@@ -219,10 +222,10 @@
   }
 
   private async *attempt(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
-    placement: PlacedPair,
+    placement: EnginePlacement,
   ): AsyncGenerator<ServingEvent, AttemptOutcome> {
     const attempt = new CompletionAttempt(this.options, {
       pool,
@@ -234,16 +237,16 @@
       },
       prompt: completion.prompt,
       prefixes: promptPrefixes(completion.prompt),
-      delivered: progress.getText(),
-      fromPosition: progress.getPosition(),
+      deliveredText: progress.getDeliveredText(),
+      fromPosition: progress.getNextPosition(),
       maxTokens: completion.maxTokens,
-      mayRepeat: () =>
-        this.options.repeats.tryRepeat(
-          repeatTarget(completion, pool, placement.decode),
+      tryRetry: () =>
+        this.options.retryGate.tryRepeat(
+          completionRetryTarget(completion, pool, placement.decode),
           this.options.clock.now(),
         ),
     });
-    progress.noteDispatch();
+    progress.recordDispatch();
     const events = attempt.run(completion.signal);
     try {
       let next = await events.next();
@@ -260,7 +263,7 @@
   }
 
   private recordEvent(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     progress: CompletionProgress,
     event: AttemptEvent,
   ): void {
@@ -269,15 +272,15 @@
       const ttft = this.options.clock.now() - progress.startedAt;
       this.options.metrics.timing('request.ttft', ttft, { class: completion.class });
     }
-    if (event.type === 'token') progress.noteToken(event.text);
-    else progress.notePiece(event.position);
+    if (event.type === 'token') progress.recordToken(event.text);
+    else progress.recordForwardedEvent(event.position);
   }
 
   private reserve(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
-  ): Promise<Result<PlacedPair, Refusal>> {
+  ): Promise<Result<EnginePlacement, Refusal>> {
     const { caller } = completion;
     const item: WorkItem = {
       request: completion.id,
@@ -285,22 +288,22 @@
       team: caller.team.id,
       weight: caller.team.weight,
       class: completion.class,
-      promptTokens: progress.promptTokens + progress.getPosition(),
-      maxOutputTokens: Math.max(1, completion.maxTokens - progress.getPosition()),
+      promptTokens: progress.promptTokens + progress.getNextPosition(),
+      maxOutputTokens: Math.max(1, completion.maxTokens - progress.getNextPosition()),
       prefixes: promptPrefixes(completion.prompt),
       maxWaitMs:
-        completion.terms.maxWaitMs ??
-        waitBound(completion.config, pool, caller.team.id, completion.class),
-      avoid: progress.getAvoided(),
-      expectedOutputTokens: completion.terms.expectedTokens,
-      onTimeMs: completion.terms.onTimeMs,
-      longestPauseMs: completion.terms.longestPauseMs,
-      priority: completion.terms.priority,
+        completion.policy.maxWaitMs ??
+        maxQueueWait(completion.config, pool, caller.team.id, completion.class),
+      avoid: progress.getAvoidedEngines(),
+      expectedOutputTokens: completion.policy.expectedTokens,
+      onTimeMs: completion.policy.onTimeMs,
+      longestPauseMs: completion.policy.longestPauseMs,
+      priority: completion.policy.priority,
     };
     return this.options.placements.reserve(pool.model, item, completion.signal);
   }
 
-  private poolFor(completion: KnownCompletion): Result<PoolConfig, Refusal> {
+  private poolFor(completion: ResolvedCompletion): Result<PoolConfig, Refusal> {
     const { caller, model } = completion;
     const pool = this.options.directory.getPool(model);
     if (pool === undefined) return err(notRun('unknown_model', 'No pool serves this model.'));
@@ -319,12 +322,12 @@
 
   /** Sets a refusal's `execution`, which must not be `not_run` once an engine may have run the request. */
   private refusalFor(
-    completion: KnownCompletion,
+    completion: ResolvedCompletion,
     progress: CompletionProgress,
     refusal: Refusal,
   ): Refusal {
-    const reason = completion.signal.aborted ? endReason(completion.signal) : refusal;
-    return wasGivenAway(completion, progress)
+    const reason = completion.signal.aborted ? abortRefusal(completion.signal) : refusal;
+    return mayHaveExecuted(completion, progress)
       ? { ...reason, execution: 'unknown' }
       : { ...reason, execution: 'not_run' };
   }
--- a/packages/router/src/serving/CompletionProgress.ts
+++ b/packages/router/src/serving/CompletionProgress.ts
@@ -38,17 +38,17 @@
   }
 
   /** Gets the text that was delivered to the caller. */
-  getText(): string {
+  getDeliveredText(): string {
     return this.text;
   }
 
   /** Gets the position of the next token to deliver. */
-  getPosition(): number {
+  getNextPosition(): number {
     return this.position;
   }
 
   /** Gets the engines on which the request failed, the latest last. */
-  getAvoided(): readonly UpstreamId[] {
+  getAvoidedEngines(): readonly UpstreamId[] {
     return this.avoided;
   }
 
@@ -58,36 +58,36 @@
   }
 
   /** Records that the request is dispatched to an engine. */
-  noteDispatch(): void {
+  recordDispatch(): void {
     this.dispatched = true;
     this.isInFlight = true;
   }
 
   /** Records a delivered token. */
-  noteToken(text: string): void {
+  recordToken(text: string): void {
     this.text += text;
     this.position += 1;
     this.delivered = true;
   }
 
   /** Records a delivered event of a forwarded call. */
-  notePiece(position: number): void {
+  recordForwardedEvent(position: number): void {
     this.position = position + 1;
     this.delivered = true;
   }
 
   /** Records an attempt that failed after its engine may have started to generate output. */
-  noteRun(): void {
+  recordExecution(): void {
     this.executions += 1;
   }
 
   /** Records that an engine gave its complete answer. */
-  noteAnswered(): void {
+  recordAnswer(): void {
     this.answered = true;
   }
 
   /** Gets the number of failed attempts whose engines may have started to generate output. */
-  getRuns(): number {
+  getExecutionCount(): number {
     return this.executions;
   }
 
@@ -97,18 +97,18 @@
   }
 
   /** Tells whether an engine has started this request, or may have without the host knowing. */
-  mayHaveBegun(): boolean {
+  mayHaveStarted(): boolean {
     return this.executions > 0 || this.delivered || this.answered || this.isInFlight;
   }
 
   /** Records an engine on which the request failed. */
-  noteFailure(engine: UpstreamId): void {
+  recordFailure(engine: UpstreamId): void {
     this.isInFlight = false;
     this.avoided = [...this.avoided, engine].slice(-MAX_AVOIDED_ENGINES);
   }
 
   /** Gets the tokens that the team is charged for: the prompt once dispatched, and the output. */
-  getUsedTokens(): Tokens {
+  getChargeableTokens(): Tokens {
     return this.dispatched ? this.promptTokens + this.position : 0;
   }
 }
--- a/packages/router/src/serving/CallShares.ts
+++ b/packages/router/src/serving/ConcurrencyShares.ts
@@ -1,5 +1,5 @@
 import type { HostId, Millis, ServiceId } from '@camphorvane/core';
-import { PeerCounts, placeShare } from '@camphorvane/decisions';
+import { PeerCounts, concurrencyShare } from '@camphorvane/decisions';
 
 /**
  * Milliseconds for which a peer's load report counts. Peers gossip every 200 ms, and digests of large
@@ -13,7 +13,7 @@
  * A host uses the count that it last reported for itself too. With its current count it would take more
  * than its share at the start of a burst, before it learns of the burst at the other hosts.
  */
-export class CallShares {
+export class ConcurrencyShares {
   private readonly peers = new PeerCounts(REPORT_TTL_MS);
 
   private reported: ReadonlyMap<ServiceId, number> = new Map();
@@ -21,12 +21,12 @@
   private countLocalCalls: () => ReadonlyMap<ServiceId, number> = () => new Map();
 
   /** Sets the function that counts this host's calls by service, both running and waiting. */
-  setOwn(count: () => ReadonlyMap<ServiceId, number>): void {
+  setLocalCounter(count: () => ReadonlyMap<ServiceId, number>): void {
     this.countLocalCalls = count;
   }
 
   /** Counts the calls of this host, to be reported to its peers. */
-  getOwn(): ReadonlyMap<ServiceId, number> {
+  countLocal(): ReadonlyMap<ServiceId, number> {
     this.reported = this.countLocalCalls();
     return this.reported;
   }
@@ -51,9 +51,15 @@
    * @returns Slots, not rounded.
    */
   shareOf(service: ServiceId, places: number, hosts: number, now: Millis): number {
-    const unheard = Math.max(0, hosts - 1 - this.peers.heard(now));
+    const unheard = Math.max(0, hosts - 1 - this.peers.countPeers(now));
     const others = this.peers.sum(service, now);
     const own = this.reported.get(service) ?? 0;
-    return placeShare({ places, own, others, unheard, hosts });
+    return concurrencyShare({
+      concurrency: places,
+      ownCalls: own,
+      peerCalls: others,
+      silentHosts: unheard,
+      hosts,
+    });
   }
 }
--- a/packages/router/src/serving/CrashGuard.ts
+++ b/packages/router/src/serving/CrashGuard.ts
@@ -1,7 +1,7 @@
 import type { Clock, HostId, Millis, Refusal, UpstreamId } from '@camphorvane/core';
 import { notRun, sha256Hex } from '@camphorvane/core';
-import { CrashSuspicion } from '@camphorvane/decisions';
-import type { CrashReport, CrashSuspicionOptions } from '@camphorvane/decisions';
+import { CrashSuspects } from '@camphorvane/decisions';
+import type { CrashReport, CrashSuspectsOptions } from '@camphorvane/decisions';
 import type { PeerLink } from '@camphorvane/peer';
 import type { UpstreamError } from '@camphorvane/upstream';
 import type { GroupGate } from '../host/ports.ts';
@@ -17,7 +17,7 @@
   /** Sends crash reports to the other hosts; absent where hosts have no peer link. */
   readonly link?: PeerLink;
   /** When a request is quarantined; defaults apply to limits that are not given. */
-  readonly suspicion?: Partial<CrashSuspicionOptions>;
+  readonly suspicion?: Partial<CrashSuspectsOptions>;
 }
 
 /**
@@ -28,12 +28,12 @@
 export class CrashGuard {
   private readonly options: CrashGuardOptions;
 
-  private readonly suspicion: CrashSuspicion;
+  private readonly suspicion: CrashSuspects;
 
   /** @param options - Identity, clock, peers and limits. */
   constructor(options: CrashGuardOptions) {
     this.options = options;
-    this.suspicion = new CrashSuspicion(options.suspicion);
+    this.suspicion = new CrashSuspects(options.suspicion);
   }
 
   /**
@@ -53,7 +53,7 @@
    * @returns The refusal, or undefined where the request may run.
    */
   refusalFor(digest: string): Refusal | undefined {
-    const quarantineMs = this.suspicion.getHeldBackMs(digest, this.options.clock.now());
+    const quarantineMs = this.suspicion.getBlockedMs(digest, this.options.clock.now());
     if (quarantineMs === undefined) return undefined;
     const text = 'Several upstreams crashed while running this request; it is quarantined for now.';
     return notRun('suspected_crasher', text, quarantineMs);
@@ -66,21 +66,21 @@
    * @param upstream - The upstream that ran it.
    * @param error - The error; only `broken`, a connection that broke off, counts as a crash.
    */
-  failed(digest: string, upstream: UpstreamId, error: UpstreamError): void {
+  recordFailure(digest: string, upstream: UpstreamId, error: UpstreamError): void {
     if (error.type !== 'broken') return;
     const report: CrashReport = { digest, upstream, ageMs: 0 };
-    this.suspicion.observe(report, this.options.clock.now());
+    this.suspicion.recordCrash(report, this.options.clock.now());
     this.reportToGroup([report]);
   }
 
   /** Clears a request that got a complete answer. */
-  succeeded(digest: string): void {
+  recordSuccess(digest: string): void {
     this.suspicion.clear(digest);
   }
 
   /** Records crashes that other hosts reported. */
-  heard(reports: readonly CrashReport[]): void {
-    reports.forEach((report) => this.suspicion.observe(report, this.options.clock.now()));
+  receiveReports(reports: readonly CrashReport[]): void {
+    reports.forEach((report) => this.suspicion.recordCrash(report, this.options.clock.now()));
   }
 
   /** Gets the number of suspected requests, for the state dump. */
--- a/packages/router/src/serving/Forwarding.ts
+++ b/packages/router/src/serving/ForwardHandler.ts
@@ -11,7 +11,7 @@
   WorkClass,
 } from '@camphorvane/core';
 import { notRun } from '@camphorvane/core';
-import { CallerAges } from '@camphorvane/decisions';
+import { RequestAgeEstimator } from '@camphorvane/decisions';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { AuthenticatedCaller, Authenticator } from '../host/Authenticator.ts';
@@ -20,11 +20,11 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { Metrics } from '../observe/Metrics.ts';
 import { stateLog } from '../observe/StateLog.ts';
-import type { CompletionServing } from './CompletionServing.ts';
-import type { ServingEvent } from './completionWork.ts';
+import type { CompletionHandler } from './CompletionHandler.ts';
+import type { ServingEvent } from './resolvedCompletion.ts';
 import { chooseTarget, findForwardRoute } from './findForwardRoute.ts';
-import type { ServiceServing } from './ServiceServing.ts';
-import { StreamPace } from './StreamPace.ts';
+import type { ServiceCallHandler } from './ServiceCallHandler.ts';
+import { StreamTimer } from './StreamTimer.ts';
 
 /** Milliseconds that a caller is assumed to wait where it does not declare a timeout. */
 const DEFAULT_CALLER_TIMEOUT_MS: Millis = 30_000;
@@ -68,15 +68,15 @@
 const log = stateLog('request');
 
 /** Options of a `ForwardHandler`. */
-export interface ForwardingOptions {
+export interface ForwardHandlerOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly authenticator: Authenticator;
   readonly config: ConfigSource;
   readonly directory: UpstreamDirectory;
   readonly inFlight: InFlight;
-  readonly completions: CompletionServing;
-  readonly services: ServiceServing;
+  readonly completions: CompletionHandler;
+  readonly services: ServiceCallHandler;
   readonly metrics: Metrics;
   /** Tells whether the host refuses new requests. */
   readonly isClosed: () => boolean;
@@ -97,13 +97,13 @@
 }
 
 /** Forwards calls byte for byte to upstreams, by the same handlers as the native API. */
-export class Forwarding implements ForwardBackend {
-  private readonly options: ForwardingOptions;
+export class ForwardHandler implements ForwardBackend {
+  private readonly options: ForwardHandlerOptions;
 
-  private readonly callerAges = new CallerAges();
+  private readonly callerAges = new RequestAgeEstimator();
 
   /** @param options - Components of the host. */
-  constructor(options: ForwardingOptions) {
+  constructor(options: ForwardHandlerOptions) {
     this.options = options;
   }
 
@@ -128,9 +128,9 @@
     try {
       const isStream = call.route.kind === 'stream';
       const events = isStream ? this.stream(call, abort.signal) : this.call(call, abort.signal);
-      const timer = new StreamPace(startedAt);
+      const timer = new StreamTimer(startedAt);
       for await (const event of events) {
-        if (event.type === 'data') timer.note(this.options.clock.now());
+        if (event.type === 'data') timer.recordEvent(this.options.clock.now());
         if (event.type === 'refused') this.recordRefusal(id, event.refusal, startedAt);
         if (event.type === 'done') this.recordDone(call, timer, startedAt);
         yield event;
@@ -167,7 +167,7 @@
       const { service } = target;
       const slos = { kind, targetMs, longestPauseMs };
       const version = this.version();
-      const ageMs = Math.round(this.callerAges.note(name, patienceMs, now));
+      const ageMs = Math.round(this.callerAges.estimate(name, patienceMs, now));
       log('accepted', { id, route: name, service, team: caller.team.id, ...slos, ageMs, version });
       return { id, req, route, service: target.service, caller, config, deadlineAt, ageMs };
     });
@@ -199,8 +199,8 @@
       class: 'lookup',
       caller,
       config,
-      terms: {
-        maxRuns: route.maxAttempts,
+      policy: {
+        maxExecutions: route.maxAttempts,
         resumable: route.resumable,
         fromPosition: work?.lastPosition === undefined ? 0 : work.lastPosition + 1,
         expectedTokens: work?.expectedTokens,
@@ -230,8 +230,8 @@
     const reply = await this.options.services.serve({
       id,
       req: { ...req, idempotencyKey: undefined },
-      terms: {
-        maxTries: route.maxAttempts,
+      policy: {
+        maxAttempts: route.maxAttempts,
         claimed: false,
         maxWaitMs: Math.min(route.targetMs * CALL_MAX_WAIT_TARGETS, this.remainingMs(call)),
         lateAt: this.options.clock.now() + route.targetMs * CALL_ON_TIME_FRACTION - call.ageMs,
@@ -264,12 +264,12 @@
 
   private recordDone(
     { id, route, service }: RoutedCall,
-    timer: StreamPace,
+    timer: StreamTimer,
     startedAt: Millis,
   ): void {
     const { kind } = route;
     const tookMs = Math.round(this.options.clock.now() - startedAt);
-    const times = timer.get();
+    const times = timer.getTimings();
     const firstMs = Math.round(times.firstMs ?? tookMs);
     const pauseMs = Math.round(times.longestPauseMs);
     this.options.metrics.count('request.whole', { kind });
--- a/packages/router/src/serving/RateQueue.ts
+++ b/packages/router/src/serving/RateQueue.ts
@@ -30,7 +30,7 @@
 const REFUSAL_PAUSE_MS: Millis = 2_000;
 
 /** A request to charge tokens to a team's rate. */
-export interface RateWish {
+export interface ChargeRequest {
   readonly team: TeamConfig;
   readonly class: WorkClass;
   readonly tokens: Tokens;
@@ -73,7 +73,7 @@
   }
 
   /** Gets the tokens that the queued requests of a team ask for. */
-  getWaitingTokens(team: TeamId): Tokens {
+  getQueuedTokens(team: TeamId): Tokens {
     return this.queues.get(team)?.tokens ?? 0;
   }
 
@@ -84,9 +84,9 @@
    * @param signal - Aborted when the caller disconnects.
    * @returns The charge, or a refusal.
    */
-  async charge(req: RateWish, signal: AbortSignal): Promise<Result<RateCharge, Refusal>> {
+  async charge(req: ChargeRequest, signal: AbortSignal): Promise<Result<RateCharge, Refusal>> {
     const mayWait = req.class === 'summary';
-    const isQueueing = mayWait && this.getWaitingTokens(req.team.id) > 0;
+    const isQueueing = mayWait && this.getQueuedTokens(req.team.id) > 0;
     if (isQueueing) return this.enqueue(req, 0, signal);
     const first = await this.rates.charge(req.team.id, req.tokens);
     if (first.isErr() && !mayWait) this.lastRefusalAt.set(req.team.id, this.clock.now());
@@ -95,7 +95,7 @@
   }
 
   private async enqueue(
-    req: RateWish,
+    req: ChargeRequest,
     refillMs: Millis,
     signal: AbortSignal,
   ): Promise<Result<RateCharge, Refusal>> {
@@ -104,12 +104,12 @@
     return this.waitInQueue(req, signal);
   }
 
-  private queueWaitMs({ team }: RateWish): Millis {
-    return refillTimeMs(team, this.getWaitingTokens(team.id));
+  private queueWaitMs({ team }: ChargeRequest): Millis {
+    return refillTimeMs(team, this.getQueuedTokens(team.id));
   }
 
   private async waitInQueue(
-    req: RateWish,
+    req: ChargeRequest,
     signal: AbortSignal,
   ): Promise<Result<RateCharge, Refusal>> {
     const until = this.clock.now() + req.maxWaitMs;
@@ -119,7 +119,7 @@
       release = resolve;
     });
     this.queues.set(req.team.id, {
-      tokens: this.getWaitingTokens(req.team.id) + req.tokens,
+      tokens: this.getQueuedTokens(req.team.id) + req.tokens,
       tail,
     });
     try {
@@ -141,7 +141,7 @@
   }
 
   private async chargeUntil(
-    req: RateWish,
+    req: ChargeRequest,
     until: Millis,
     signal: AbortSignal,
   ): Promise<Result<RateCharge, Refusal>> {
@@ -157,7 +157,7 @@
   }
 
   private async pauseAfterRefusal(
-    { team }: RateWish,
+    { team }: ChargeRequest,
     until: Millis,
     signal: AbortSignal,
   ): Promise<void> {
@@ -168,7 +168,7 @@
     while (waitMs() > 0 && !signal.aborted) await sleep(this.clock, waitMs(), signal);
   }
 
-  private dequeue({ team, tokens }: RateWish): void {
+  private dequeue({ team, tokens }: ChargeRequest): void {
     const queue = this.queues.get(team.id);
     if (queue === undefined) return;
     if (queue.tokens <= tokens) this.queues.delete(team.id);
--- a/packages/router/src/serving/ServiceServing.ts
+++ b/packages/router/src/serving/ServiceCallHandler.ts
@@ -1,7 +1,7 @@
 import type { ServiceReply } from '@camphorvane/caller';
 import type { Clock, HostId, Incarnation, Millis, Refusal, UpstreamId } from '@camphorvane/core';
 import { notRun, outcomeUnknown, sha256Hex } from '@camphorvane/core';
-import type { GateCall, SlowStart } from '@camphorvane/decisions';
+import type { ServiceQueueCall, SlowStart } from '@camphorvane/decisions';
 import type { Claim, ClaimRequest, IdempotencyClaims } from '@camphorvane/store';
 import { claimRefusal } from '@camphorvane/store';
 import type { ServiceAnswer, UpstreamError } from '@camphorvane/upstream';
@@ -13,13 +13,13 @@
 import type { Metrics } from '../observe/Metrics.ts';
 import { stateLog } from '../observe/StateLog.ts';
 import type { CrashGuard } from './CrashGuard.ts';
-import { endReason } from './endReason.ts';
-import type { KnownCall } from './serviceWork.ts';
-import { digestOf, repeatTarget } from './serviceWork.ts';
-import type { ServiceGates } from './ServiceGates.ts';
+import { abortRefusal } from './abortRefusal.ts';
+import type { ResolvedCall } from './resolvedCall.ts';
+import { serviceCallDigest, serviceRetryTarget } from './resolvedCall.ts';
+import type { ServiceQueues } from './ServiceQueues.ts';
 
 /** Most servers that a native call is sent to. */
-export const MAX_TRIES = 3;
+export const MAX_CALL_ATTEMPTS = 3;
 
 /** Retry-after in milliseconds where servers failed; most are back within seconds. */
 const RETRY_AFTER_MS: Millis = 1_000;
@@ -30,16 +30,16 @@
 const log = stateLog('service');
 
 /** Options of a `ServiceCallHandler`. */
-export interface ServiceServingOptions {
+export interface ServiceCallHandlerOptions {
   readonly clock: Clock;
   readonly directory: UpstreamDirectory;
-  readonly gates: ServiceGates;
+  readonly queues: ServiceQueues;
   readonly slowStart: SlowStart;
   readonly rates: RateGate;
   /** Claims of non-idempotent calls; absent where every request of a caller is a call of its own. */
   readonly claims: IdempotencyClaims | undefined;
-  readonly repeats: RepeatGate;
-  readonly crashes: CrashGuard;
+  readonly retryGate: RepeatGate;
+  readonly crashGuard: CrashGuard;
   readonly self: { readonly host: HostId; readonly incarnation: Incarnation };
   readonly metrics: Metrics;
 }
@@ -56,11 +56,11 @@
   | ({ readonly type: 'failed' } & FailedAttempt);
 
 /** Serves calls to plain services; non-idempotent calls run at most once. */
-export class ServiceServing {
-  private readonly options: ServiceServingOptions;
+export class ServiceCallHandler {
+  private readonly options: ServiceCallHandlerOptions;
 
   /** @param options - Components of the host. */
-  constructor(options: ServiceServingOptions) {
+  constructor(options: ServiceCallHandlerOptions) {
     this.options = options;
   }
 
@@ -70,7 +70,7 @@
    * @param call - The call.
    * @returns The complete answer, or a refusal.
    */
-  async serve(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+  async serve(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
     const charge = await this.options.rates.charge(call.caller.team.id, call.route.costTokens);
     if (charge.isErr()) return err(charge.error);
     const reply = await this.serveCharged(call);
@@ -79,22 +79,25 @@
     return reply;
   }
 
-  private async serveCharged(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
-    const quarantined = this.options.crashes.refusalFor(digestOf(call));
+  private async serveCharged(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
+    const quarantined = this.options.crashGuard.refusalFor(serviceCallDigest(call));
     if (quarantined !== undefined) return err(quarantined);
     if (call.route.idempotent) return this.serveIdempotent(call);
     const { claims } = this.options;
-    return claims === undefined || !call.terms.claimed
+    return claims === undefined || !call.policy.claimed
       ? this.serveOnceUnclaimed(call)
       : this.serveOnceClaimed(call, claims);
   }
 
   /** Retries on other servers after failures; if all fail, the last error answer of a server is returned. */
-  private async serveIdempotent(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+  private async serveIdempotent(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
     const failures: FailedAttempt[] = [];
     let errorAnswer: ServiceAnswer | undefined;
     let attempts = 0;
-    while (attempts < call.terms.maxTries && (attempts === 0 || this.mayRetry(call, failures))) {
+    while (
+      attempts < call.policy.maxAttempts &&
+      (attempts === 0 || this.mayRetry(call, failures))
+    ) {
       attempts += 1;
       const outcome = await this.attemptOnce(call, failures);
       if (outcome.type === 'refused') {
@@ -113,18 +116,18 @@
     return err(withExecution(this.failedRefusal(call), failures));
   }
 
-  private mayRetry(call: KnownCall, failures: readonly FailedAttempt[]): boolean {
+  private mayRetry(call: ResolvedCall, failures: readonly FailedAttempt[]): boolean {
     const last = failures.at(-1);
     if (last === undefined) return true;
     const now = this.options.clock.now();
-    if (now >= call.terms.deadlineAt) return false;
+    if (now >= call.policy.deadlineAt) return false;
     if (reachedNobody(last.error)) return true;
-    return this.options.repeats.tryRepeat(repeatTarget(call, last.server), now);
+    return this.options.retryGate.tryRepeat(serviceRetryTarget(call, last.server), now);
   }
 
-  private failedRefusal(call: KnownCall): Refusal {
-    if (call.signal.aborted) return endReason(call.signal);
-    return this.options.clock.now() >= call.terms.deadlineAt
+  private failedRefusal(call: ResolvedCall): Refusal {
+    if (call.signal.aborted) return abortRefusal(call.signal);
+    return this.options.clock.now() >= call.policy.deadlineAt
       ? notRun('timed_out', 'No server of this service answered before the deadline.')
       : notRun(
           'upstream_failed',
@@ -134,7 +137,7 @@
   }
 
   /** Runs a non-idempotent call at most once, without a claim: a retry of its caller is another call. */
-  private async serveOnceUnclaimed(call: KnownCall): Promise<Result<ServiceReply, Refusal>> {
+  private async serveOnceUnclaimed(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
     const outcome = await this.attemptUntilDispatched(call);
     switch (outcome.type) {
       case 'answer':
@@ -148,12 +151,12 @@
     }
   }
 
-  private unclaimedRefusal(call: KnownCall, { error }: FailedAttempt): Refusal {
+  private unclaimedRefusal(call: ResolvedCall, { error }: FailedAttempt): Refusal {
     if (!error.dispatched) {
       return notRun('upstream_failed', 'No server accepted the call.', RETRY_AFTER_MS);
     }
     const text = 'The call was sent, but no complete answer came back.';
-    return this.options.clock.now() >= call.terms.deadlineAt
+    return this.options.clock.now() >= call.policy.deadlineAt
       ? outcomeUnknown('timed_out', text)
       : outcomeUnknown('outcome_unknown', text);
   }
@@ -165,7 +168,7 @@
    * the caller, here or at another host, does not run it a second time.
    */
   private async serveOnceClaimed(
-    call: KnownCall,
+    call: ResolvedCall,
     claims: IdempotencyClaims,
   ): Promise<Result<ServiceReply, Refusal>> {
     const req = this.claimRequest(call);
@@ -180,7 +183,7 @@
   }
 
   private async runClaimed(
-    call: KnownCall,
+    call: ResolvedCall,
     claims: IdempotencyClaims,
     claim: Claim,
   ): Promise<Result<ServiceReply, Refusal>> {
@@ -207,7 +210,7 @@
     }
   }
 
-  private claimRequest(call: KnownCall): Result<ClaimRequest, Refusal> {
+  private claimRequest(call: ResolvedCall): Result<ClaimRequest, Refusal> {
     const { idempotencyKey, method, path, body } = call.req;
     if (idempotencyKey === undefined) {
       const text = 'This call runs at most once and needs an Idempotency-Key header.';
@@ -226,13 +229,13 @@
   }
 
   /** Retries on other servers only while the call cannot have reached one. */
-  private async attemptUntilDispatched(call: KnownCall): Promise<AttemptOutcome> {
+  private async attemptUntilDispatched(call: ResolvedCall): Promise<AttemptOutcome> {
     const failures: FailedAttempt[] = [];
     let outcome = await this.attemptOnce(call, failures);
     while (
       outcome.type === 'failed' &&
       !outcome.error.dispatched &&
-      failures.length + 1 < MAX_TRIES &&
+      failures.length + 1 < MAX_CALL_ATTEMPTS &&
       !call.signal.aborted &&
       this.mayRetry(call, [outcome])
     ) {
@@ -243,25 +246,25 @@
   }
 
   private async attemptOnce(
-    call: KnownCall,
+    call: ResolvedCall,
     failures: readonly FailedAttempt[],
   ): Promise<AttemptOutcome> {
-    const gateCall: GateCall = {
+    const gateCall: ServiceQueueCall = {
       request: `${call.id}.${failures.length}`,
       team: call.caller.team.id,
       class: call.route.class,
-      maxWaitMs: call.terms.maxWaitMs,
-      lateAt: call.terms.lateAt,
+      maxWaitMs: call.policy.maxWaitMs,
+      lateAt: call.policy.lateAt,
       avoid: failures.map((failure) => failure.server),
     };
-    const chosen = await this.options.gates.choose(call.service.id, gateCall, call.signal);
+    const chosen = await this.options.queues.acquireServer(call.service.id, gateCall, call.signal);
     if (chosen.isErr()) return { type: 'refused', refusal: chosen.error };
     if (failures.length === 0) {
       const request = { team: call.caller.team.id, service: call.service.id };
-      this.options.repeats.attempted(request, [chosen.value], this.options.clock.now());
+      this.options.retryGate.attempted(request, [chosen.value], this.options.clock.now());
     }
     const result = await this.dispatch(call, gateCall, chosen.value);
-    this.options.gates.ended(call.service.id, gateCall, chosen.value, hasFailed(result));
+    this.options.queues.releaseServer(call.service.id, gateCall, chosen.value, hasFailed(result));
     this.recordCrash(call, chosen.value, result);
     this.recordReachability(chosen.value, result);
     if (result.isErr()) {
@@ -275,13 +278,13 @@
   }
 
   private recordCrash(
-    call: KnownCall,
+    call: ResolvedCall,
     server: UpstreamId,
     result: Result<ServiceAnswer, UpstreamError>,
   ): void {
-    const digest = digestOf(call);
-    if (result.isOk()) this.options.crashes.succeeded(digest);
-    else this.options.crashes.failed(digest, server, result.error);
+    const digest = serviceCallDigest(call);
+    if (result.isOk()) this.options.crashGuard.recordSuccess(digest);
+    else this.options.crashGuard.recordFailure(digest, server, result.error);
   }
 
   private recordReachability(
@@ -289,17 +292,17 @@
     result: Result<ServiceAnswer, UpstreamError>,
   ): void {
     const { slowStart, clock } = this.options;
-    if (result.isOk()) slowStart.answered(server, clock.now());
-    else if (reachedNobody(result.error)) slowStart.unreachable(server);
+    if (result.isOk()) slowStart.recordAnswer(server, clock.now());
+    else if (reachedNobody(result.error)) slowStart.recordUnreachable(server);
   }
 
-  private remainingMs(call: KnownCall): Millis {
-    return call.terms.deadlineAt - this.options.clock.now();
+  private remainingMs(call: ResolvedCall): Millis {
+    return call.policy.deadlineAt - this.options.clock.now();
   }
 
   private dispatch(
-    call: KnownCall,
-    gateCall: GateCall,
+    call: ResolvedCall,
+    gateCall: ServiceQueueCall,
     server: UpstreamId,
   ): ResultAsync<ServiceAnswer, UpstreamError> {
     const client = this.options.directory.getServer(server)?.server;
--- a/packages/router/src/serving/ServiceGates.ts
+++ b/packages/router/src/serving/ServiceQueues.ts
@@ -9,13 +9,13 @@
   UpstreamId,
 } from '@camphorvane/core';
 import { notRun } from '@camphorvane/core';
-import { ServiceGate } from '@camphorvane/decisions';
-import type { GateCall, GateDecision, SlowStart } from '@camphorvane/decisions';
+import { ServiceQueue } from '@camphorvane/decisions';
+import type { ServiceQueueCall, ServiceQueueDecision, SlowStart } from '@camphorvane/decisions';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import { stateLog } from '../observe/StateLog.ts';
-import type { CallShares } from './CallShares.ts';
+import type { ConcurrencyShares } from './ConcurrencyShares.ts';
 
 /** Milliseconds between two checks whether servers in slow start may take another waiting call. */
 const SLOW_START_RECHECK_MS: Millis = 50;
@@ -26,14 +26,14 @@
 
 interface GateEntry {
   readonly service: ServiceId;
-  readonly gate: ServiceGate;
+  readonly gate: ServiceQueue;
   /** Resolvers of the waiting calls. */
   readonly resolvers: Map<RequestId, (choice: ServerChoice) => void>;
   cancelTimer: CancelTimer;
 }
 
 /** Queues calls to plain services on this host, and gives them servers within its share of the slots. */
-export class ServiceGates {
+export class ServiceQueues {
   private readonly clock: Clock;
 
   private readonly random: RandomSource;
@@ -42,7 +42,7 @@
 
   private readonly hostCount: () => number;
 
-  private readonly shares: CallShares;
+  private readonly shares: ConcurrencyShares;
 
   private readonly slowStart: SlowStart;
 
@@ -61,7 +61,7 @@
     random: RandomSource,
     directory: UpstreamDirectory,
     hostCount: () => number,
-    shares: CallShares,
+    shares: ConcurrencyShares,
     slowStart: SlowStart,
   ) {
     this.clock = clock;
@@ -70,7 +70,7 @@
     this.hostCount = hostCount;
     this.shares = shares;
     this.slowStart = slowStart;
-    shares.setOwn(() => this.countCalls());
+    shares.setLocalCounter(() => this.countCalls());
   }
 
   /**
@@ -81,7 +81,11 @@
    * @param signal - Aborted when the caller disconnects.
    * @returns The server, or a refusal.
    */
-  choose(service: ServiceId, call: GateCall, signal: AbortSignal): Promise<ServerChoice> {
+  acquireServer(
+    service: ServiceId,
+    call: ServiceQueueCall,
+    signal: AbortSignal,
+  ): Promise<ServerChoice> {
     const entry = this.entryFor(service);
     return new Promise((resolve) => {
       const withdraw = (): void => {
@@ -109,9 +113,14 @@
   }
 
   /** Frees the slot of a call that has ended. */
-  ended(service: ServiceId, call: GateCall, server: UpstreamId, failed: boolean): void {
+  releaseServer(
+    service: ServiceId,
+    call: ServiceQueueCall,
+    server: UpstreamId,
+    failed: boolean,
+  ): void {
     const entry = this.entryFor(service);
-    entry.gate.ended(call.team, server, failed, this.clock.now());
+    entry.gate.callEnded(call.team, server, failed, this.clock.now());
     this.schedule(entry);
   }
 
@@ -125,7 +134,7 @@
     if (known !== undefined) return known;
     const entry: GateEntry = {
       service,
-      gate: new ServiceGate(this.random),
+      gate: new ServiceQueue(this.random),
       resolvers: new Map(),
       cancelTimer: () => undefined,
     };
@@ -145,7 +154,7 @@
       limit: Math.max(1, Math.min(maxConcurrent, Math.ceil(maxConcurrent * ratio))),
       allowance: this.slowStart.allowance(id, now),
     }));
-    gate.reshape(limits, Math.max(servers.length, Math.floor(share)));
+    gate.reconfigure(limits, Math.max(servers.length, Math.floor(share)));
     return share;
   }
 
@@ -173,10 +182,10 @@
     return wake !== undefined && isInSlowStart ? Math.min(wake, now + SLOW_START_RECHECK_MS) : wake;
   }
 
-  private apply(entry: GateEntry, decision: GateDecision, share: number): void {
+  private apply(entry: GateEntry, decision: ServiceQueueDecision, share: number): void {
     switch (decision.type) {
       case 'place':
-        this.slowStart.used(decision.server, this.clock.now());
+        this.slowStart.recordRequest(decision.server, this.clock.now());
         log('placed', {
           id: decision.request,
           server: decision.server,
@@ -202,9 +211,9 @@
 
   /** Gets the number of waiting calls by service, for the state dump. */
   dump(): Readonly<Record<ServiceId, number>> {
-    return Object.fromEntries([...this.gates].map(([id, entry]) => [id, entry.gate.waitingCount]));
+    return Object.fromEntries([...this.gates].map(([id, entry]) => [id, entry.gate.queuedCount]));
   }
 }
 
 /** Longest wait of a native call for a server, in milliseconds, unless the service's timeout is shorter. */
-export const MAX_SERVICE_WAIT_MS: Millis = 2_000;
+export const MAX_NATIVE_CALL_WAIT_MS: Millis = 2_000;
--- a/packages/router/src/serving/StallWatch.ts
+++ b/packages/router/src/serving/StallDetector.ts
@@ -1,14 +1,14 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
 /** Options of a `StallDetector`. */
-export interface StallWatchOptions {
+export interface StallDetectorOptions {
   readonly clock: Clock;
   /** Milliseconds without an event after which the engine is probed. */
   readonly silentMs: Millis;
   /** Probes the engine; false where it does not answer, or another engine has taken over its address. */
-  readonly isThere: () => Promise<boolean>;
+  readonly probe: () => Promise<boolean>;
   /** Called once when a probe fails. */
-  readonly onGone: () => void;
+  readonly onEngineGone: () => void;
 }
 
 /**
@@ -18,21 +18,21 @@
  * A stream also pauses while its engine prefills other prompts or has preempted it, so silence alone is no
  * failure: the engine is probed.
  */
-export class StallWatch {
-  private readonly options: StallWatchOptions;
+export class StallDetector {
+  private readonly options: StallDetectorOptions;
 
   private cancelTimer: CancelTimer = () => undefined;
 
   private isClosed = false;
 
   /** @param options - Clock, timeout, probe and callback. */
-  constructor(options: StallWatchOptions) {
+  constructor(options: StallDetectorOptions) {
     this.options = options;
-    this.progress();
+    this.recordProgress();
   }
 
   /** Restarts the timeout when an event arrives. */
-  progress(): void {
+  recordProgress(): void {
     const { clock, silentMs } = this.options;
     this.cancelTimer();
     if (this.isClosed) return;
@@ -48,13 +48,13 @@
   }
 
   private async probe(): Promise<void> {
-    const isThere = await this.options.isThere();
+    const isThere = await this.options.probe();
     if (this.isClosed) return;
     if (isThere) {
-      this.progress();
+      this.recordProgress();
       return;
     }
     this.close();
-    this.options.onGone();
+    this.options.onEngineGone();
   }
 }
--- a/packages/router/src/serving/StreamPace.ts
+++ b/packages/router/src/serving/StreamTimer.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@camphorvane/core';
 
 /** Latency of a stream as its caller sees it. */
-export interface StreamTimes {
+export interface StreamTimings {
   /** Milliseconds from the arrival of the request to the first event; undefined before that event. */
   readonly firstMs: Millis | undefined;
   /** Longest time between two events, in milliseconds. */
@@ -10,7 +10,7 @@
 }
 
 /** Measures the latency of one stream's events. */
-export class StreamPace {
+export class StreamTimer {
   private readonly startedAt: Millis;
 
   private firstAt: Millis | undefined;
@@ -27,7 +27,7 @@
   }
 
   /** Records that an event is sent to the caller. */
-  note(now: Millis): void {
+  recordEvent(now: Millis): void {
     if (this.firstAt === undefined) this.firstAt = now;
     else this.longestPauseMs = Math.max(this.longestPauseMs, now - this.lastAt);
     this.lastAt = now;
@@ -35,7 +35,7 @@
   }
 
   /** Gets the latencies measured so far. */
-  get(): StreamTimes {
+  getTimings(): StreamTimings {
     const { firstAt, startedAt, longestPauseMs, events } = this;
     const firstMs = firstAt === undefined ? undefined : firstAt - startedAt;
     return { firstMs, longestPauseMs, events };
--- a/packages/router/src/serving/endReason.ts
+++ b/packages/router/src/serving/abortRefusal.ts
@@ -7,7 +7,7 @@
  * @param signal - The request's aborted signal.
  * @returns The refusal; the caller of this function sets `execution`, as it knows what was dispatched.
  */
-export function endReason(signal: AbortSignal): Refusal {
+export function abortRefusal(signal: AbortSignal): Refusal {
   const reason: unknown = signal.reason;
   return isRefusal(reason) ? reason : notRun('caller_gone', 'The caller closed its connection.');
 }
--- a/packages/router/src/serving/attemptEnds.ts
+++ b/packages/router/src/serving/attemptEnds.ts
@@ -8,7 +8,10 @@
  * @param outcome - The outcome; undefined where the attempt was stopped before it had one.
  * @param callerGone - Whether the caller closed its connection.
  */
-export function endOf(outcome: AttemptOutcome | undefined, callerGone: boolean): ReservationEnd {
+export function reservationEnd(
+  outcome: AttemptOutcome | undefined,
+  callerGone: boolean,
+): ReservationEnd {
   if (callerGone || outcome === undefined) return 'caller_gone';
   switch (outcome.type) {
     case 'done':
@@ -40,6 +43,6 @@
 }
 
 /** Gets the error for a stream that closed without its final event. */
-export function endedEarly(): UpstreamError {
+export function streamTruncated(): UpstreamError {
   return { type: 'broken', dispatched: true, message: 'the stream closed before its final event' };
 }
--- a/packages/router/src/serving/completionAttemptPlan.ts
+++ b/packages/router/src/serving/completionAttemptPlan.ts
@@ -3,34 +3,34 @@
 import type { AnswerHead, PrefillResult, UpstreamError } from '@camphorvane/upstream';
 import type { Metrics } from '../observe/Metrics.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import type { EngineWatch } from '../placing/EngineWatch.ts';
-import type { PlacedPair, Placer } from '../placing/Placer.ts';
-import type { ReservationKeeper } from '../placing/ReservationKeeper.ts';
+import type { EngineObserver } from '../placing/EngineObserver.ts';
+import type { EnginePlacement, Placer } from '../placing/Placer.ts';
+import type { ReservationRenewer } from '../placing/ReservationRenewer.ts';
 
 /** Components of the host that an attempt uses. */
-export interface AttemptTools {
+export interface AttemptDependencies {
   readonly clock: Clock;
   readonly directory: UpstreamDirectory;
   readonly placements: Placer;
-  readonly keeper: ReservationKeeper;
-  readonly watch: EngineWatch;
+  readonly keeper: ReservationRenewer;
+  readonly watch: EngineObserver;
   readonly metrics: Metrics;
 }
 
 /** Input of one attempt. */
 export interface AttemptPlan {
   readonly pool: PoolConfig;
-  readonly placement: PlacedPair;
+  readonly placement: EnginePlacement;
   readonly identity: Pick<AdoptedReservation, 'request' | 'holder' | 'team'>;
   readonly prompt: Prompt;
   readonly prefixes: readonly PromptPrefix[];
   /** Text that earlier attempts delivered. */
-  readonly delivered: string;
+  readonly deliveredText: string;
   /** Position of the first token to deliver. */
   readonly fromPosition: number;
   readonly maxTokens: Tokens;
   /** Takes one retry from the budget, to send the request to another engine; false if none is left. */
-  readonly mayRepeat: () => boolean;
+  readonly tryRetry: () => boolean;
 }
 
 /** How an attempt ended. */
--- a/packages/router/src/serving/findRoute.ts
+++ b/packages/router/src/serving/findServiceRoute.ts
@@ -8,7 +8,7 @@
  * @param path - The call's path, with its query.
  * @returns The route, or undefined where none matches.
  */
-export function findRoute(
+export function findServiceRoute(
   service: ServiceConfig,
   method: string,
   path: string,
--- a/packages/router/src/serving/waitBound.ts
+++ b/packages/router/src/serving/maxQueueWait.ts
@@ -15,7 +15,7 @@
  * @param cls - The class of the request.
  * @returns The longest wait in milliseconds.
  */
-export function waitBound(
+export function maxQueueWait(
   config: RoutingConfig,
   pool: PoolConfig,
   team: TeamId,
--- a/packages/router/src/serving/serviceWork.ts
+++ b/packages/router/src/serving/resolvedCall.ts
@@ -5,9 +5,9 @@
 import { CrashGuard } from './CrashGuard.ts';
 
 /** Limits on the attempts of one service call. */
-export interface CallTerms {
+export interface CallPolicy {
   /** Servers that the call may be sent to, one after another. */
-  readonly maxTries: number;
+  readonly maxAttempts: number;
   /** Whether a non-idempotent call is claimed in the store by its Idempotency-Key before dispatch. */
   readonly claimed: boolean;
   /** Longest wait for a free server, in milliseconds. */
@@ -19,21 +19,21 @@
 }
 
 /** A service call whose caller is authenticated and whose route is resolved. */
-export interface KnownCall {
+export interface ResolvedCall {
   readonly id: RequestId;
   readonly req: Pick<ServiceRequest, 'method' | 'path' | 'headers' | 'body' | 'idempotencyKey'>;
-  readonly terms: CallTerms;
+  readonly policy: CallPolicy;
   readonly caller: AuthenticatedCaller;
   readonly service: ServiceConfig;
   readonly route: ServiceRoute;
   readonly signal: AbortSignal;
 }
 
-export function repeatTarget(call: KnownCall, upstream: UpstreamId): RepeatTarget {
+export function serviceRetryTarget(call: ResolvedCall, upstream: UpstreamId): RepeatTarget {
   return { team: call.caller.team.id, service: call.service.id, upstream };
 }
 
-export function digestOf({ caller, req }: KnownCall): string {
+export function serviceCallDigest({ caller, req }: ResolvedCall): string {
   return CrashGuard.digestOf(
     caller.team.id,
     req.method,
--- a/packages/router/src/serving/completionWork.ts
+++ b/packages/router/src/serving/resolvedCompletion.ts
@@ -18,12 +18,12 @@
 import { CrashGuard } from './CrashGuard.ts';
 
 /** Attempts for one completion; with more, one bad prompt could reach every engine. */
-export const MAX_ATTEMPTS = 4;
+export const MAX_COMPLETION_ATTEMPTS = 4;
 
 /** Limits on the attempts and waits of one completion, and its scheduling hints. */
-export interface CompletionTerms {
+export interface CompletionPolicy {
   /** Most engines that may start to generate output. */
-  readonly maxRuns: number;
+  readonly maxExecutions: number;
   /** Whether another engine may resume the stream once one may have started it. */
   readonly resumable: boolean;
   /** Position of the first token to deliver; above 0 where the caller resumes a broken stream. */
@@ -41,14 +41,14 @@
 }
 
 /** Policy of the native API, which resumes every stream at the exact token. */
-export const TEXT_TERMS: CompletionTerms = {
-  maxRuns: MAX_ATTEMPTS,
+export const NATIVE_COMPLETION_POLICY: CompletionPolicy = {
+  maxExecutions: MAX_COMPLETION_ATTEMPTS,
   resumable: true,
   fromPosition: 0,
 };
 
 /** A completion whose caller is authenticated. */
-export interface KnownCompletion {
+export interface ResolvedCompletion {
   readonly id: RequestId;
   readonly model: ModelId;
   readonly prompt: Prompt;
@@ -56,7 +56,7 @@
   readonly class: WorkClass;
   readonly caller: AuthenticatedCaller;
   readonly config: RoutingConfig;
-  readonly terms: CompletionTerms;
+  readonly policy: CompletionPolicy;
   /** Aborted when the caller disconnects, or with a refusal as reason when the host ends the request. */
   readonly signal: AbortSignal;
 }
@@ -73,44 +73,52 @@
  *
  * For native text dispatch counts; for a forwarded call only a decode that may have started does.
  */
-export function wasGivenAway(completion: KnownCompletion, progress: CompletionProgress): boolean {
-  return typeof completion.prompt === 'string' ? progress.wasDispatched() : progress.getRuns() > 0;
+export function mayHaveExecuted(
+  completion: ResolvedCompletion,
+  progress: CompletionProgress,
+): boolean {
+  return typeof completion.prompt === 'string'
+    ? progress.wasDispatched()
+    : progress.getExecutionCount() > 0;
 }
 
 /** Tells whether a failed attempt counts as an execution: see `mayHaveExecuted`. */
-export function mayHaveRun(completion: KnownCompletion, { stage, error }: FailedAttempt): boolean {
+export function attemptMayHaveExecuted(
+  completion: ResolvedCompletion,
+  { stage, error }: FailedAttempt,
+): boolean {
   return error.dispatched && (stage === 'decode' || typeof completion.prompt === 'string');
 }
 
 /** Gets the tokens to charge: prompt and delivered output of native text, all or none of a forwarded call. */
-export function usedTokens(
-  completion: KnownCompletion,
+export function chargeableTokens(
+  completion: ResolvedCompletion,
   progress: CompletionProgress,
   charge: RateCharge,
 ): Tokens {
-  if (typeof completion.prompt === 'string') return progress.getUsedTokens();
-  return progress.mayHaveBegun() ? charge.tokens : 0;
+  if (typeof completion.prompt === 'string') return progress.getChargeableTokens();
+  return progress.mayHaveStarted() ? charge.tokens : 0;
 }
 
-export function repeatTarget(
-  completion: KnownCompletion,
+export function completionRetryTarget(
+  completion: ResolvedCompletion,
   pool: PoolConfig,
   upstream: UpstreamId,
 ): RepeatTarget {
   return { team: completion.caller.team.id, service: pool.model, upstream };
 }
 
-export function digestOf({ model, prompt, caller }: KnownCompletion): string {
+export function completionDigest({ model, prompt, caller }: ResolvedCompletion): string {
   if (typeof prompt === 'string') return CrashGuard.digestOf(model, prompt);
   const { path, body } = prompt.call;
   return CrashGuard.digestOf(caller.team.id, path, Buffer.from(body).toString('base64'));
 }
 
-export function endEvent(
+export function finalEvent(
   outcome: Exclude<AttemptOutcome, FailedAttempt>,
   progress: CompletionProgress,
 ): ServingEvent {
-  progress.noteAnswered();
+  progress.recordAnswer();
   if (outcome.type === 'answered') {
     return { type: 'answer', head: outcome.head, body: outcome.body };
   }
@@ -119,6 +127,6 @@
     reason: outcome.reason,
     promptTokens: outcome.prefill?.promptTokens ?? progress.promptTokens,
     cachedTokens: outcome.prefill?.cachedTokens ?? 0,
-    outputTokens: progress.getPosition(),
+    outputTokens: progress.getNextPosition(),
   };
 }
--- a/packages/router/src/serving/teamRepeats.ts
+++ b/packages/router/src/serving/retryGates.ts
@@ -1,4 +1,4 @@
-import type { RepeatBudget, RetryBudget } from '@camphorvane/decisions';
+import type { ServiceRetryBudget, RetryBudget } from '@camphorvane/decisions';
 import type { RepeatGate } from '../host/ports.ts';
 
 /**
@@ -7,10 +7,10 @@
  * @param budget - The budgets of teams and upstreams.
  * @returns The gate.
  */
-export function teamRepeats(budget: RetryBudget): RepeatGate {
+export function teamRetryGate(budget: RetryBudget): RepeatGate {
   return {
     attempted: ({ team }, upstreams, now) =>
-      upstreams.forEach((upstream) => budget.attempted(team, upstream, now)),
+      upstreams.forEach((upstream) => budget.recordAttempt(team, upstream, now)),
     tryRepeat: ({ team, upstream }, now) => budget.tryRetry(team, upstream, now),
   };
 }
@@ -21,9 +21,9 @@
  * @param budget - The budgets of services.
  * @returns The gate.
  */
-export function serviceRepeats(budget: RepeatBudget): RepeatGate {
+export function serviceRetryGate(budget: ServiceRetryBudget): RepeatGate {
   return {
-    attempted: ({ service }, _upstreams, now) => budget.attempted(service, now),
-    tryRepeat: ({ service }, now) => budget.tryRepeat(service, now),
+    attempted: ({ service }, _upstreams, now) => budget.recordAttempt(service, now),
+    tryRepeat: ({ service }, now) => budget.tryRetry(service, now),
   };
 }
--- a/packages/router/tests/Host.test.ts
+++ b/packages/router/tests/Host.test.ts
@@ -12,7 +12,7 @@
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const answers = await Promise.all(
-    fleet.hosts.map((host, i) => startCompletion(host, { prompt: question(i) }).ended(fleet)),
+    fleet.hosts.map((host, i) => startCompletion(host, { prompt: question(i) }).waitForEnd(fleet)),
   );
   answers.forEach((events, i) => {
     assert.equal(textOf(events), expected(question(i), 20));
@@ -33,7 +33,7 @@
   await fleet.clock.advance(2_000);
   assert.ok(call.events.length > 0);
   assert.equal(fleet.heldAttempts().length, 1);
-  call.leave();
+  call.disconnect();
   await fleet.clock.advance(1_000);
   assert.deepEqual(fleet.heldAttempts(), []);
 });
@@ -51,7 +51,7 @@
   const before = call.events.length;
   assert.ok(before > 10);
   fleet.decodeEngineOf(call).crash();
-  const events = await call.ended(fleet);
+  const events = await call.waitForEnd(fleet);
   assert.equal(textOf(events), expected('long comparison #tokens=200', 200));
   assert.ok(events.length > before);
 });
@@ -83,14 +83,14 @@
   await fleet.clock.advance(500);
   const drained = fleet.host(0).drain();
   await fleet.clock.advance(3_000);
-  const late = await startCompletion(fleet.host(0), {}).ended(fleet);
+  const late = await startCompletion(fleet.host(0), {}).waitForEnd(fleet);
   assert.deepEqual(
     late.map((event) => (event.type === 'refused' ? event.refusal.code : event.type)),
     ['host_draining'],
   );
   const advice = fleet.host(1).backend.advise(fleet.key)._unsafeUnwrap();
   assert.deepEqual(advice.hosts.map((host) => host.host).sort(), ['h2', 'h3']);
-  assert.equal(textOf(await call.ended(fleet)), expected('slow #tokens=300', 300));
+  assert.equal(textOf(await call.waitForEnd(fleet)), expected('slow #tokens=300', 300));
   await fleet.clock.advance(20_000);
   await drained;
   assert.equal(fleet.host(0).getState(), 'stopped');
@@ -102,8 +102,8 @@
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const issue = (host: number): Promise<string> => fleet.issueCertificate(fleet.host(host), 'k1');
-  const first = await fleet.during(issue(0));
-  const again = await fleet.during(Promise.all([issue(1), issue(2)]));
+  const first = await fleet.advanceUntilSettled(issue(0));
+  const again = await fleet.advanceUntilSettled(Promise.all([issue(1), issue(2)]));
   assert.equal(fleet.service.records.length, 1);
   assert.match(first, /^201|^200/);
   assert.deepEqual(again, [`${first} replayed`, `${first} replayed`]);
@@ -117,9 +117,9 @@
   const issued = fleet.issueCertificate(fleet.host(0), 'k2');
   await fleet.clock.advance(15);
   fleet.service.crash();
-  assert.equal(await fleet.during(issued), 'outcome_unknown unknown');
+  assert.equal(await fleet.advanceUntilSettled(issued), 'outcome_unknown unknown');
   fleet.service.setFaults({ down: false });
-  const again = await fleet.during(fleet.issueCertificate(fleet.host(1), 'k2'));
+  const again = await fleet.advanceUntilSettled(fleet.issueCertificate(fleet.host(1), 'k2'));
   assert.equal(again, 'outcome_unknown unknown');
   assert.ok(fleet.service.records.length <= 1);
 });
@@ -129,15 +129,15 @@
   // what is free; were lookups to wait for that, each would miss its target for some seconds.
   const fleet = new MemoryFleet(3);
   await fleet.start();
-  const steward = fleet.stewardOfPool();
+  const steward = fleet.coordinatorOfPool();
   const others = fleet.hosts.filter((host) => host !== steward);
-  fleet.cutOff(steward);
+  fleet.partition(steward);
   const calls = Array.from({ length: 8 }, (_, i) => i);
   const answers = await Promise.all(
     calls.map(async (i) => {
       await fleet.clock.advance(0);
       const host = others[i % others.length] ?? steward;
-      return startCompletion(host, { prompt: `lookup ${i} #tokens=5` }).ended(fleet);
+      return startCompletion(host, { prompt: `lookup ${i} #tokens=5` }).waitForEnd(fleet);
     }),
   );
   answers.forEach((events, i) => {
--- a/packages/router/tests/agreement/DeploymentFeed.test.ts
+++ b/packages/router/tests/agreement/DeploymentFeed.test.ts
@@ -47,7 +47,7 @@
   news = 0;
 
   constructor(store: ChangingStore, drainsZones = true) {
-    this.slowStart.reshape(new Map(['s-a', 's-b'].map((id) => [id, SLOW_START])));
+    this.slowStart.setBounds(new Map(['s-a', 's-b'].map((id) => [id, SLOW_START])));
     this.feed = new DeploymentFeed({
       ...{ store: store.asStore(), format: FORMAT, clock: this.clock },
       ...{ random: new RandomSource(1), strictKeysMs: undefined, watchMs: 2_000, drainsZones },
--- a/packages/router/tests/agreement/PeerGossip.test.ts
+++ b/packages/router/tests/agreement/PeerGossip.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { gossipPace } from '@camphorvane/decisions';
+import { gossipTimings } from '@camphorvane/decisions';
 import type { GossipHost } from '../support/GossipFleet.ts';
 import { GossipFleet } from '../support/GossipFleet.ts';
 
@@ -70,7 +70,7 @@
   await play(30, async (fleet) => {
     await fleet.clock.advance(3_000);
     fleet.hosts.slice(0, 3).forEach((host) => Object.assign(host, { isDown: true }));
-    await fleet.clock.advance(3 * gossipPace(30).silentMs);
+    await fleet.clock.advance(3 * gossipTimings(30).silentMs);
     const living = fleet.hosts.slice(3);
     const expected = living.map((host) => host.name);
     living.forEach((host) => assert.deepEqual(namesOf(fleet, host), expected, host.name));
@@ -89,7 +89,7 @@
     await fleet.clock.advance(10_000);
     fleet.hosts.forEach((host) => assert.equal(namesOf(fleet, host).length, 15, host.name));
     Object.assign(fleet, { passes: () => true });
-    await fleet.clock.advance(4 * gossipPace(30).silentMs);
+    await fleet.clock.advance(4 * gossipTimings(30).silentMs);
     fleet.hosts.forEach((host) => assert.equal(namesOf(fleet, host).length, 30, host.name));
   });
 });
@@ -103,7 +103,7 @@
   const windowMs = 8_000;
   const charged: number[] = [];
   await play(30, async (fleet) => {
-    fleet.hosts.forEach((host) => host.rates.reshape(new Map([[team, rate]]), 0));
+    fleet.hosts.forEach((host) => host.rates.reconfigure(new Map([[team, rate]]), 0));
     await fleet.clock.advance(1_000);
     let turn = 0;
     const step = async (index: number): Promise<void> => {
@@ -139,7 +139,7 @@
 
 /** Requests of the last half minute that a host knows of. */
 const demandAt = (fleet: GossipFleet, host: GossipHost): number =>
-  host.demand.getSpans('m', fleet.clock.now()).reduce((sum, span) => sum + span.requests, 0);
+  host.demand.getBuckets('m', fleet.clock.now()).reduce((sum, span) => sum + span.requests, 0);
 
 // The host that decides about the roles sees a small part of the callers itself. It must know what is
 // asked of all, also where words come as sums of a relay, and also after that relay has died.
@@ -147,7 +147,7 @@
   const learn = (count: number) =>
     play(count, async (fleet) => {
       await busy(fleet, 2_000);
-      fleet.hosts.forEach((host) => host.demand.asked('m', ITEM, fleet.clock.now()));
+      fleet.hosts.forEach((host) => host.demand.recordRequest('m', ITEM, fleet.clock.now()));
       await busy(fleet, 3_000);
       const known = fleet.hosts.map((host) => demandAt(fleet, host));
       assert.deepEqual(
@@ -157,7 +157,7 @@
       Object.assign(fleet.hosts[0] ?? {}, { isDown: true });
       await busy(fleet, 3_000);
       const living = fleet.hosts.slice(1);
-      living.forEach((host) => host.demand.asked('m', ITEM, fleet.clock.now()));
+      living.forEach((host) => host.demand.recordRequest('m', ITEM, fleet.clock.now()));
       await busy(fleet, 3_000);
       living.forEach((host) => {
         const more = demandAt(fleet, host) - count;
@@ -176,7 +176,7 @@
       Object.assign(first ?? {}, { moves: [{ engine: 'e', role: 'decode', leftMs: 9_000 }] });
       await busy(fleet, 1_000);
       const now = fleet.clock.now();
-      const unaware = others.filter((host) => host.heardMoves.roleOf('e', now) !== 'decode');
+      const unaware = others.filter((host) => host.heardMoves.getTargetRole('e', now) !== 'decode');
       assert.deepEqual(
         unaware.map((host) => host.name),
         [],
@@ -189,7 +189,7 @@
 test('all hosts learn how many requests wait on the others and can still be on time', async () => {
   const learn = (count: number) =>
     play(count, async (fleet) => {
-      fleet.hosts.forEach((host) => host.demand.asked('m', ITEM, fleet.clock.now()));
+      fleet.hosts.forEach((host) => host.demand.recordRequest('m', ITEM, fleet.clock.now()));
       await busy(fleet, 3_000);
       const [first, second, ...others] = fleet.hosts;
       Object.assign(first ?? {}, { waiting: 3 });
--- a/packages/router/tests/placing/EngineProbes.test.ts
+++ b/packages/router/tests/placing/EngineProbes.test.ts
@@ -56,7 +56,7 @@
   assert.equal(fleet.health.isSuspected('e1'), true);
   await fleet.clock.advance(1);
   assert.equal(fleet.health.isSuspected('e1'), false);
-  assert.deepEqual(fleet.probes.getDown(), []);
+  assert.deepEqual(fleet.probes.getDownEngines(), []);
 });
 
 // An engine that crashed under ten streams stays listed for a while. Without probes every host would find
@@ -67,12 +67,12 @@
   Array.from({ length: 10 }, () => fleet.probes.suspect('e1'));
   await fleet.clock.advance(3_000);
   assert.equal(fleet.health.isSuspected('e1'), true);
-  assert.deepEqual(fleet.probes.getDown(), ['e1']);
+  assert.deepEqual(fleet.probes.getDownEngines(), ['e1']);
   assert.ok((fleet.probeCounts.get('e1') ?? 0) <= 5, `${fleet.probeCounts.get('e1')}`);
   fleet.down.delete('e1');
   await fleet.clock.advance(1_600);
   assert.equal(fleet.health.isSuspected('e1'), false);
-  assert.deepEqual(fleet.probes.getDown(), []);
+  assert.deepEqual(fleet.probes.getDownEngines(), []);
 });
 
 test('an engine that is no longer listed is no longer probed', async () => {
@@ -108,7 +108,7 @@
     fleet.probes.suspect(id);
   });
   await fleet.clock.advance(10);
-  assert.deepEqual(fleet.probes.getDown(), []);
+  assert.deepEqual(fleet.probes.getDownEngines(), []);
   assert.ok(fleet.changeCount >= 3);
 });
 
--- a/packages/router/tests/placing/RoleControl.test.ts
+++ b/packages/router/tests/placing/RoleControl.test.ts
@@ -13,18 +13,18 @@
   try {
     await run(fleet);
   } finally {
-    fleet.end();
+    fleet.stop();
   }
 }
 
 const changingEngines = (fleet: RoleFleet): readonly string[] =>
   ['p1', 'p2', 'p3', 'd1', 'd2', 'd3'].filter(
-    (id) => fleet.knowledge.moves.roleOf(id, fleet.clock.now()) !== undefined,
+    (id) => fleet.knowledge.roleChanges.getTargetRole(id, fleet.clock.now()) !== undefined,
   );
 
 test('a role change is ordered once, with the fencing token and the expected number of orders', async () => {
   await withFleet(async (fleet) => {
-    await fleet.play(12_000);
+    await fleet.advanceUnderLoad(12_000);
     assert.equal(fleet.orders.length, 1);
     const [sent] = fleet.orders;
     assert.deepEqual(sent?.order, {
@@ -32,8 +32,8 @@
     });
     assert.deepEqual(changingEngines(fleet), [sent.engine]);
     assert.ok(fleet.announced >= 1);
-    fleet.complete(sent.engine, 'decode');
-    await fleet.play(600);
+    fleet.setRole(sent.engine, 'decode');
+    await fleet.advanceUnderLoad(600);
     assert.deepEqual(changingEngines(fleet), []);
   });
 });
@@ -41,8 +41,8 @@
 // Guards against two hosts ordering at the same time, which would move more engines than can be spared.
 test('without the lease no order is sent and no engine is taken out of use', async () => {
   await withFleet(async (fleet) => {
-    fleet.set({ lease: { type: 'not_held', reason: 'store_away' } });
-    await fleet.play(12_000);
+    fleet.configure({ lease: { type: 'not_held', reason: 'store_away' } });
+    await fleet.advanceUnderLoad(12_000);
     assert.deepEqual(fleet.orders, []);
     assert.deepEqual(changingEngines(fleet), []);
   });
@@ -52,8 +52,8 @@
 // The retry expects the same number of orders, so that the engine can't execute it twice.
 test('an unanswered order is sent again, and the engine stays out of use', async () => {
   await withFleet(async (fleet) => {
-    fleet.set({ answers: [err(UNANSWERED), err(REFUSED)] });
-    await fleet.play(6_000);
+    fleet.configure({ answers: [err(UNANSWERED), err(REFUSED)] });
+    await fleet.advanceUnderLoad(6_000);
     assert.equal(fleet.orders.length, 2);
     assert.deepEqual(
       fleet.orders.map(({ order }) => order.type === 'role' && order.expected),
@@ -65,11 +65,11 @@
 
 test('an engine that rejects an order is used in its present role again', async () => {
   await withFleet(async (fleet) => {
-    fleet.set({ answers: [err(REFUSED)] });
-    await fleet.play(4_500);
+    fleet.configure({ answers: [err(REFUSED)] });
+    await fleet.advanceUnderLoad(4_500);
     assert.ok(fleet.orders.length >= 1);
-    fleet.set({ rank: undefined });
-    await fleet.play(1_500);
+    fleet.configure({ rank: undefined });
+    await fleet.advanceUnderLoad(1_500);
     assert.deepEqual(changingEngines(fleet), []);
   });
 });
@@ -78,8 +78,8 @@
 // unknown, and an order could be executed twice.
 test('an engine without a load report gets no order', async () => {
   await withFleet(async (fleet) => {
-    fleet.set({ report: err(DOWN) });
-    await fleet.play(6_000);
+    fleet.configure({ report: err(DOWN) });
+    await fleet.advanceUnderLoad(6_000);
     assert.deepEqual(fleet.orders, []);
   });
 });
@@ -87,13 +87,13 @@
 // Guards against an order from a host that was suspended after its decision and has lost the lease since.
 test('a host that loses the lease after its decision sends no order', async () => {
   await withFleet(async (fleet) => {
-    const { moves } = fleet.knowledge;
+    const { roleChanges: moves } = fleet.knowledge;
     const begin = moves.begin.bind(moves);
     moves.begin = (...args) => {
       begin(...args);
-      fleet.set({ lease: { type: 'not_held', reason: 'held_by_other' } });
+      fleet.configure({ lease: { type: 'not_held', reason: 'held_by_other' } });
     };
-    await fleet.play(8_000);
+    await fleet.advanceUnderLoad(8_000);
     assert.deepEqual(fleet.orders, []);
     assert.deepEqual(changingEngines(fleet), []);
   });
@@ -101,10 +101,10 @@
 
 test('a host that is leaving or has three hosts before it sends no order', async () => {
   await withFleet(async (fleet) => {
-    fleet.set({ rank: undefined });
-    await fleet.play(8_000);
-    fleet.set({ rank: 3 });
-    await fleet.play(8_000);
+    fleet.configure({ rank: undefined });
+    await fleet.advanceUnderLoad(8_000);
+    fleet.configure({ rank: 3 });
+    await fleet.advanceUnderLoad(8_000);
     assert.deepEqual(fleet.orders, []);
   });
 });
--- a/packages/router/tests/serving/Forwarding.test.ts
+++ b/packages/router/tests/serving/ForwardHandler.test.ts
@@ -4,12 +4,12 @@
 import { err, errAsync, ok, okAsync, ResultAsync } from 'neverthrow';
 import type { CallScript, DecodeScript } from '../support/ForwardFleet.ts';
 import {
-  endOf,
-  failing,
+  answerEnding,
+  failingStream,
   ForwardFleet,
-  pieces,
-  textOfAnswer,
-  wholeStream,
+  streamEvents,
+  answerText,
+  completeStream,
 } from '../support/ForwardFleet.ts';
 
 after(() => ForwardFleet.stopAll());
@@ -22,47 +22,49 @@
 test('a stream is prefilled by one engine, decoded by another, and forwarded event by event', async () => {
   const fleet = new ForwardFleet({});
   const events = await fleet.send('/llm/x');
-  assert.equal(textOfAnswer(events), '0;1;2;3;');
-  assert.equal(endOf(events), 'done');
+  assert.equal(answerText(events), '0;1;2;3;');
+  assert.equal(answerEnding(events), 'done');
   assert.deepEqual(fleet.prefills, ['p1']);
 });
 
 // Guards against a second prefill, under peak load, when a decode engine that has filled up since its last
 // load report rejects a prompt after its prefill.
 test('a prefilled prompt is offered to another decode engine when the first one rejects it', async () => {
-  const fleet = new ForwardFleet({ decode: { d1: failing(0, FULL), d2: wholeStream } });
+  const fleet = new ForwardFleet({
+    decodeScripts: { d1: failingStream(0, FULL), d2: completeStream },
+  });
   const twice = await Promise.all([fleet.send('/llm/x'), fleet.send('/llm/y')]);
-  twice.forEach((events) => assert.equal(textOfAnswer(events), '0;1;2;3;'));
+  twice.forEach((events) => assert.equal(answerText(events), '0;1;2;3;'));
   assert.equal(fleet.prefills.length, 2);
 });
 
 // Guards against a second run of a non-resumable stream, and against a `not_run` refusal, when its engine
 // crashes in mid-stream.
 test('a non-resumable stream ends when its engine crashes, with execution unknown', async () => {
-  const script = failing(2, CRASHED);
-  const fleet = new ForwardFleet({ decode: { d1: script, d2: script } });
+  const script = failingStream(2, CRASHED);
+  const fleet = new ForwardFleet({ decodeScripts: { d1: script, d2: script } });
   const events = await fleet.send('/llm/x');
-  assert.equal(textOfAnswer(events), '0;1;');
-  assert.equal(endOf(events), 'upstream_failed unknown');
+  assert.equal(answerText(events), '0;1;');
+  assert.equal(answerEnding(events), 'upstream_failed unknown');
   assert.equal(fleet.decodes.length, 1);
 });
 
 // Guards against lost and duplicate events when a resumable stream loses its engine in mid-stream.
 test('a resumable stream resumes at another engine after its last event', async () => {
   let crashes = 0;
-  const crashOnce: typeof wholeStream = async function* script(cmd) {
+  const crashOnce: typeof completeStream = async function* script(cmd) {
     crashes += 1;
-    if (crashes > 1) yield* wholeStream(cmd);
-    else yield* failing(2, CRASHED)(cmd, new AbortController().signal);
+    if (crashes > 1) yield* completeStream(cmd);
+    else yield* failingStream(2, CRASHED)(cmd, new AbortController().signal);
   };
   const fleet = new ForwardFleet({
-    decode: { d1: crashOnce, d2: crashOnce },
+    decodeScripts: { d1: crashOnce, d2: crashOnce },
     route: { resumable: true },
   });
   const events = await fleet.send('/llm/x');
-  assert.equal(textOfAnswer(events), '0;1;2;3;');
+  assert.equal(answerText(events), '0;1;2;3;');
   assert.equal(events.filter((event) => event.type === 'head').length, 1);
-  assert.equal(endOf(events), 'done');
+  assert.equal(answerEnding(events), 'done');
   assert.equal(new Set(fleet.decodes).size, 2);
 });
 
@@ -73,12 +75,12 @@
     await new Promise<void>((resolve) => {
       setTimeout(resolve, 80);
     });
-    yield* wholeStream(cmd);
+    yield* completeStream(cmd);
   };
-  const fleet = new ForwardFleet({ decode: { d1: failing(0, FULL), d2: slow } });
+  const fleet = new ForwardFleet({ decodeScripts: { d1: failingStream(0, FULL), d2: slow } });
   const paths = Array.from({ length: 6 }, (_, i) => `/llm/${i}`);
   const results = await Promise.all(paths.map((path) => fleet.send(path)));
-  results.forEach((events) => assert.equal(endOf(events), 'done'));
+  results.forEach((events) => assert.equal(answerEnding(events), 'done'));
   assert.equal(fleet.prefills.length, paths.length, 'a prompt was prefilled twice');
 });
 
@@ -86,26 +88,28 @@
 test('a caller that resumes a stream gets only the events that it lacks', async () => {
   const fleet = new ForwardFleet({ route: { resumable: true } });
   const work = { promptTokens: 100, maxTokens: 50, parts: [], lastPosition: 1 };
-  assert.equal(textOfAnswer(await fleet.send('/llm/x', { work })), '2;3;');
+  assert.equal(answerText(await fleet.send('/llm/x', { work })), '2;3;');
 });
 
 // Guards against a refusal with execution unknown, after which the caller may not retry, when all decode
 // engines are down.
 test('a stream that no engine accepted is refused as not run', async () => {
-  const fleet = new ForwardFleet({ decode: { d1: failing(0, DOWN), d2: failing(0, DOWN) } });
+  const fleet = new ForwardFleet({
+    decodeScripts: { d1: failingStream(0, DOWN), d2: failingStream(0, DOWN) },
+  });
   const events = await fleet.send('/llm/x');
-  assert.match(endOf(events), / not_run$/);
+  assert.match(answerEnding(events), / not_run$/);
 });
 
 // Guards against engine memory that stays occupied by an answer whose caller has disconnected.
 test('the engine is cancelled when the caller disconnects', async () => {
   let stopped = false;
   const fleet = new ForwardFleet({
-    decode: Object.fromEntries(
+    decodeScripts: Object.fromEntries(
       ['d1', 'd2'].map((id) => [
         id,
         async function* script(cmd, signal) {
-          yield* pieces(cmd, 0, 1);
+          yield* streamEvents(cmd, 0, 1);
           await new Promise<void>((resolve) => {
             signal.addEventListener('abort', () => resolve(), { once: true });
           });
@@ -124,7 +128,7 @@
 
 test('an error answer of an engine is forwarded unchanged, and not retried', async () => {
   const fleet = new ForwardFleet({
-    decode: Object.fromEntries(
+    decodeScripts: Object.fromEntries(
       ['d1', 'd2'].map((id) => [
         id,
         async function* script(cmd) {
@@ -141,68 +145,68 @@
   });
   const events = await fleet.send('/llm/x');
   assert.deepEqual(events[0], { type: 'head', status: 500, headers: { 'x-own': '1' } });
-  assert.equal(textOfAnswer(events), 'failed');
+  assert.equal(answerText(events), 'failed');
   assert.equal(fleet.decodes.length, 1);
 });
 
 // Guards against a second execution, such as a certificate issued twice, when the answer of a server is lost.
 test('a non-idempotent call is dispatched once, even if its answer is lost', async () => {
   const fleet = new ForwardFleet({
-    call: { s1: () => errAsync(CRASHED), s2: () => errAsync(CRASHED) },
+    callScripts: { s1: () => errAsync(CRASHED), s2: () => errAsync(CRASHED) },
   });
   const events = await fleet.send('/once/x', { work: undefined });
-  assert.equal(endOf(events), 'outcome_unknown unknown');
+  assert.equal(answerEnding(events), 'outcome_unknown unknown');
   assert.equal(fleet.calls.length, 1);
 });
 
 test('a non-idempotent call is retried on another server if the first one was not reached', async () => {
-  const fleet = new ForwardFleet({ call: { s1: () => errAsync(DOWN) } });
+  const fleet = new ForwardFleet({ callScripts: { s1: () => errAsync(DOWN) } });
   const results = await Promise.all([
     fleet.send('/once/x', { work: undefined }),
     fleet.send('/once/y', { work: undefined }),
   ]);
-  results.forEach((events) => assert.equal(textOfAnswer(events), 'ok'));
+  results.forEach((events) => assert.equal(answerText(events), 'ok'));
 });
 
 // Guards against a retry budget spent on refused connections of a server that is down: they add to no
 // server's load, and calls that the other server could run would be refused.
 test('a retry after an attempt that reached no server takes nothing from the retry budget', async () => {
-  const fleet = new ForwardFleet({ call: { s1: () => errAsync(DOWN) }, repeats: 0 });
+  const fleet = new ForwardFleet({ callScripts: { s1: () => errAsync(DOWN) }, retrySlack: 0 });
   const paths = Array.from({ length: 6 }, (_, i) => `/once/${i}`);
   const results = await Promise.all(paths.map((path) => fleet.send(path, { work: undefined })));
-  results.forEach((events) => assert.equal(textOfAnswer(events), 'ok'));
+  results.forEach((events) => assert.equal(answerText(events), 'ok'));
 });
 
 test('a retry after a server rejected the call is taken from the retry budget', async () => {
   const full: CallScript = () => errAsync(FULL);
-  const fleet = new ForwardFleet({ call: { s1: full, s2: full }, repeats: 0 });
+  const fleet = new ForwardFleet({ callScripts: { s1: full, s2: full }, retrySlack: 0 });
   const paths = Array.from({ length: 4 }, (_, i) => `/once/${i}`);
   const results = await Promise.all(paths.map((path) => fleet.send(path, { work: undefined })));
-  results.forEach((events) => assert.match(endOf(events), / not_run$/));
+  results.forEach((events) => assert.match(answerEnding(events), / not_run$/));
   assert.equal(fleet.calls.length, paths.length + 1);
 });
 
 // Guards against refusals for lack of retries when a decode engine goes down during the prefill.
 test('a prefilled prompt moves on from an unreachable decode engine with a spent retry budget', async () => {
-  const fleet = new ForwardFleet({ decode: { d1: failing(0, DOWN) }, repeats: 0 });
+  const fleet = new ForwardFleet({ decodeScripts: { d1: failingStream(0, DOWN) }, retrySlack: 0 });
   const results = await Promise.all(['/llm/a', '/llm/b', '/llm/c'].map((path) => fleet.send(path)));
-  results.forEach((events) => assert.equal(endOf(events), 'done'));
+  results.forEach((events) => assert.equal(answerEnding(events), 'done'));
 });
 
 test('an idempotent call is retried on another server, and gets the last error answer if all fail', async () => {
   const failed = { status: 500, headers: {}, body: Buffer.from('own failure') };
   const fleet = new ForwardFleet({
-    call: { s1: () => okAsync(failed), s2: () => okAsync(failed) },
+    callScripts: { s1: () => okAsync(failed), s2: () => okAsync(failed) },
   });
   const events = await fleet.send('/safe/x', { method: 'GET', work: undefined });
-  assert.equal(textOfAnswer(events), 'own failure');
+  assert.equal(answerText(events), 'own failure');
   assert.deepEqual([...fleet.calls].sort(), ['s1', 's2']);
 });
 
 // Guards against callers who wait until their own timeout when a server accepts a call and never answers.
 test('a call that no server answers ends at the timeout of its route', async () => {
   const fleet = new ForwardFleet({
-    call: Object.fromEntries(
+    callScripts: Object.fromEntries(
       ['s1', 's2'].map((id) => [
         id,
         (_call, signal) =>
@@ -219,16 +223,19 @@
   });
   const startedAt = Date.now();
   const events = await fleet.send('/safe/x', { method: 'GET', work: undefined });
-  assert.equal(endOf(events), 'timed_out unknown');
+  assert.equal(answerEnding(events), 'timed_out unknown');
   assert.ok(Date.now() - startedAt < 600);
 });
 
 test('requests with an unknown or missing key, or without a matching route, reach no upstream', async () => {
   const fleet = new ForwardFleet({});
-  assert.equal(endOf(await fleet.send('/llm/x', { key: 'other' })), 'unknown_key not_run');
-  assert.equal(endOf(await fleet.send('/llm/x', { key: undefined })), 'missing_key not_run');
-  assert.equal(endOf(await fleet.send('/nowhere/x')), 'unknown_service not_run');
-  assert.equal(endOf(await fleet.send('/llm/x', { host: 'o.example' })), 'unknown_service not_run');
+  assert.equal(answerEnding(await fleet.send('/llm/x', { key: 'other' })), 'unknown_key not_run');
+  assert.equal(answerEnding(await fleet.send('/llm/x', { key: undefined })), 'missing_key not_run');
+  assert.equal(answerEnding(await fleet.send('/nowhere/x')), 'unknown_service not_run');
+  assert.equal(
+    answerEnding(await fleet.send('/llm/x', { host: 'o.example' })),
+    'unknown_service not_run',
+  );
   assert.deepEqual([...fleet.prefills, ...fleet.calls], []);
 });
 
@@ -236,26 +243,26 @@
 test('a draining host serves until it closes, then refuses requests as not run', async () => {
   const fleet = new ForwardFleet({});
   await fleet.host.beginDrain();
-  assert.equal(endOf(await fleet.send('/llm/x')), 'done');
+  assert.equal(answerEnding(await fleet.send('/llm/x')), 'done');
   await fleet.host.finishDrain(100);
-  assert.equal(endOf(await fleet.send('/llm/x')), 'host_draining not_run');
+  assert.equal(answerEnding(await fleet.send('/llm/x')), 'host_draining not_run');
 });
 
 // Guards against a request that reaches a drained zone because its engines were chosen before the drain.
 test('a stream whose decode engine is drained during the prefill goes to another one', async () => {
-  const fleet: ForwardFleet = new ForwardFleet({ onPrefill: () => fleet.remove(['d1']) });
+  const fleet: ForwardFleet = new ForwardFleet({ onPrefill: () => fleet.removeUpstreams(['d1']) });
   const streams = await Promise.all([fleet.send('/llm/x'), fleet.send('/llm/y')]);
-  streams.forEach((events) => assert.equal(endOf(events), 'done'));
+  streams.forEach((events) => assert.equal(answerEnding(events), 'done'));
   assert.deepEqual(new Set(fleet.decodes), new Set(['d2']));
 });
 
 // Guards against callers who wait for a service whose zones are all drained.
 test('requests whose upstreams are all drained are refused at once, as not run', async () => {
   const fleet = new ForwardFleet({});
-  fleet.remove(['p1', 'd1', 'd2', 's1', 's2']);
+  fleet.removeUpstreams(['p1', 'd1', 'd2', 's1', 's2']);
   const ends = await Promise.all(['/llm/x', '/safe/x', '/once/x'].map((path) => fleet.send(path)));
   ends.forEach((events) => {
-    assert.equal(endOf(events), 'no_capacity not_run');
+    assert.equal(answerEnding(events), 'no_capacity not_run');
     const last = events.at(-1);
     assert.ok(last?.type === 'refused' && (last.refusal.retryAfterMs ?? 0) > 0);
   });
@@ -265,7 +272,7 @@
 /** Sends two events, pauses for `ms` milliseconds, and sends the rest unless it is aborted. */
 const pausingStream = (ms: number): DecodeScript =>
   async function* script(cmd, signal) {
-    yield* pieces(cmd, cmd.fromPosition, 2);
+    yield* streamEvents(cmd, cmd.fromPosition, 2);
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, ms);
       signal.addEventListener('abort', () => {
@@ -274,7 +281,7 @@
       });
     });
     if (signal.aborted) yield err(CANCELLED);
-    else yield* wholeStream({ ...cmd, fromPosition: 2 });
+    else yield* completeStream({ ...cmd, fromPosition: 2 });
   };
 
 // Guards against callers who wait until their timeout because a crashed engine did not close the connection.
@@ -282,15 +289,15 @@
   let runs = 0;
   const first: DecodeScript = (cmd, signal) => {
     runs += 1;
-    return runs === 1 ? pausingStream(60_000)(cmd, signal) : wholeStream(cmd);
+    return runs === 1 ? pausingStream(60_000)(cmd, signal) : completeStream(cmd);
   };
   const fleet = new ForwardFleet({
-    decode: { d1: first, d2: first },
+    decodeScripts: { d1: first, d2: first },
     route: { resumable: true, timeoutMs: 5_000 },
   });
   const events = await fleet.send('/llm/x', { patienceMs: 5_000 });
-  assert.equal(textOfAnswer(events), '0;1;2;3;');
-  assert.equal(endOf(events), 'done');
+  assert.equal(answerText(events), '0;1;2;3;');
+  assert.equal(answerEnding(events), 'done');
   assert.equal(new Set(fleet.decodes).size, 2);
 });
 
@@ -298,12 +305,12 @@
 test('a non-resumable stream ends well before its timeout when its engine has disappeared', async () => {
   const silent = pausingStream(60_000);
   const fleet = new ForwardFleet({
-    decode: { d1: silent, d2: silent },
+    decodeScripts: { d1: silent, d2: silent },
     route: { timeoutMs: 9_000 },
   });
   const startedAt = Date.now();
   const events = await fleet.send('/llm/x', { patienceMs: 9_000 });
-  assert.equal(endOf(events), 'upstream_failed unknown');
+  assert.equal(answerEnding(events), 'upstream_failed unknown');
   assert.ok(Date.now() - startedAt < 4_000);
   assert.equal(fleet.decodes.length, 1);
 });
@@ -311,11 +318,11 @@
 // Guards against a second run of a stream whose engine only pauses.
 test('a stream stays at an engine that pauses but answers probes', async () => {
   const fleet = new ForwardFleet({
-    decode: { d1: pausingStream(1_500), d2: pausingStream(1_500) },
-    answering: ['d1', 'd2'],
+    decodeScripts: { d1: pausingStream(1_500), d2: pausingStream(1_500) },
+    probeable: ['d1', 'd2'],
     route: { resumable: true, timeoutMs: 5_000 },
   });
   const events = await fleet.send('/llm/x', { patienceMs: 5_000 });
-  assert.equal(textOfAnswer(events), '0;1;2;3;');
+  assert.equal(answerText(events), '0;1;2;3;');
   assert.equal(fleet.decodes.length, 1);
 });
--- a/packages/router/tests/serving/RateQueue.test.ts
+++ b/packages/router/tests/serving/RateQueue.test.ts
@@ -55,7 +55,7 @@
   const calls = [1, 2, 3].map(() => queue.charge(req, unaborted));
   assert.deepEqual(await outcomes(clock, calls, 2_500), ['charged', 'queued', 'queued']);
   assert.deepEqual(await outcomes(clock, calls, 40_000), ['charged', 'charged', 'charged']);
-  assert.equal(queue.getWaitingTokens('house'), 0);
+  assert.equal(queue.getQueuedTokens('house'), 0);
 });
 
 test('a summary that cannot be charged within its longest wait is refused at once', async () => {
--- a/packages/router/tests/serving/ServiceGates.test.ts
+++ b/packages/router/tests/serving/ServiceQueues.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import type { Millis, UpstreamId } from '@camphorvane/core';
 import { RandomSource, VirtualClock } from '@camphorvane/core';
-import type { GateCall } from '@camphorvane/decisions';
+import type { ServiceQueueCall } from '@camphorvane/decisions';
 import { SlowStart, slowStartQuota } from '@camphorvane/decisions';
-import { CallShares } from '../../src/serving/CallShares.ts';
-import { ServiceGates } from '../../src/serving/ServiceGates.ts';
+import { ConcurrencyShares } from '../../src/serving/ConcurrencyShares.ts';
+import { ServiceQueues } from '../../src/serving/ServiceQueues.ts';
 
 const HOSTS = 6;
 const SERVERS = ['s1', 's2', 's3'];
@@ -48,17 +48,17 @@
   const service = { servers: SERVERS.map((id) => ({ id, maxConcurrent: SLOTS_PER_SERVER })) };
   const directory = { getService: () => service };
   const hosts = Array.from({ length: HOSTS }, (_, i) => {
-    const shares = new CallShares();
+    const shares = new ConcurrencyShares();
     const hostRandom = new RandomSource(i + 1);
     const names = Array.from({ length: HOSTS }, (_one, index) => `h${index}`);
     const slowStart = new SlowStart((server, bound) =>
       slowStartQuota(server, `h${i}`, names, bound),
     );
-    slowStart.reshape(new Map(starting.map((id) => [id, SLOW_START])));
-    starting.forEach((id) => slowStart.started(id, SLOW_START.forMs, 0));
+    slowStart.setBounds(new Map(starting.map((id) => [id, SLOW_START])));
+    starting.forEach((id) => slowStart.recordStart(id, SLOW_START.forMs, 0));
     const hostCount = (): number => HOSTS;
     const args = [clock, hostRandom, directory as never, hostCount, shares, slowStart] as const;
-    const gates = new ServiceGates(...args);
+    const gates = new ServiceQueues(...args);
     return { shares, gates };
   });
   let outcome: Outcome = { sent: 0, placed: 0, maxConcurrent: 0, slowStartCallsAt: [] };
@@ -66,11 +66,11 @@
     const gates = hosts[host]?.gates;
     assert.ok(gates !== undefined, 'no such host');
     outcome = { ...outcome, sent: outcome.sent + 1 };
-    const call: GateCall = {
+    const call: ServiceQueueCall = {
       ...{ request: `r${outcome.sent}`, team: 't', class: 'lookup' },
       ...{ maxWaitMs: WAIT_MS, avoid: [] },
     };
-    const chosen = await gates.choose('orders', call, new AbortController().signal);
+    const chosen = await gates.acquireServer('orders', call, new AbortController().signal);
     if (chosen.isErr()) return;
     const busy = (running.get(chosen.value) ?? 0) + 1;
     running.set(chosen.value, busy);
@@ -81,7 +81,7 @@
     }
     clock.after(CALL_MS, () => {
       running.set(chosen.value, (running.get(chosen.value) ?? 1) - 1);
-      gates.ended('orders', call, chosen.value, false);
+      gates.releaseServer('orders', call, chosen.value, false);
     });
   };
   const hostOf = (draw: number): number => {
@@ -96,7 +96,7 @@
   const report = (): void =>
     hosts.forEach((to, i) =>
       hosts.forEach((from, j) => {
-        if (i !== j) to.shares.receive(`h${j}`, from.shares.getOwn(), clock.now());
+        if (i !== j) to.shares.receive(`h${j}`, from.shares.countLocal(), clock.now());
       }),
     );
   let owed = 0;
--- a/packages/router/tests/support/ForwardFleet.ts
+++ b/packages/router/tests/support/ForwardFleet.ts
@@ -8,7 +8,7 @@
   VersionedConfig,
 } from '@camphorvane/core';
 import { RandomSource, sha256Hex, SystemClock } from '@camphorvane/core';
-import { EngineKnowledge, RepeatBudget } from '@camphorvane/decisions';
+import { EngineKnowledge, ServiceRetryBudget } from '@camphorvane/decisions';
 import { Host, Metrics } from '@camphorvane/router';
 import type { AgreementContext, HostAgreement } from '@camphorvane/router';
 import type {
@@ -26,7 +26,7 @@
 import { SharedRates } from '../../src/agreement/SharedRates.ts';
 import { LocalPlacer } from '../../src/placing/LocalPlacer.ts';
 import { CrashGuard } from '../../src/serving/CrashGuard.ts';
-import { serviceRepeats } from '../../src/serving/teamRepeats.ts';
+import { serviceRetryGate } from '../../src/serving/retryGates.ts';
 
 export const KEY = 'the-key';
 
@@ -44,15 +44,15 @@
 
 /** Scripts of the upstreams, and settings of the host. */
 export interface ForwardFleetOptions {
-  readonly decode?: Readonly<Record<string, DecodeScript>>;
-  readonly call?: Readonly<Record<string, CallScript>>;
+  readonly decodeScripts?: Readonly<Record<string, DecodeScript>>;
+  readonly callScripts?: Readonly<Record<string, CallScript>>;
   readonly route?: Partial<ForwardRoute>;
   /** Engines that answer load probes; none where absent. */
-  readonly answering?: readonly string[];
+  readonly probeable?: readonly string[];
   /** Called during each prefill. */
   readonly onPrefill?: () => void;
   /** Slack of the retry budget, which always allows one retry; 0 also disables the retries that requests earn. */
-  readonly repeats?: number;
+  readonly retrySlack?: number;
 }
 
 const LOAD: LoadSnapshot = {
@@ -126,7 +126,7 @@
   }
 
   /** Removes engines and servers from the configuration. */
-  remove(ids: readonly string[]): void {
+  removeUpstreams(ids: readonly string[]): void {
     const { pools, services, ...rest } = this.currentConfig.config;
     const config: RoutingConfig = {
       ...rest,
@@ -219,12 +219,12 @@
       waitToAct: async () => undefined,
       onChange: () => () => undefined,
     };
-    const { repeats: slack = 100 } = this.options;
+    const { retrySlack: slack = 100 } = this.options;
     const allowance = { ratio: slack > 0 ? 1 : 0, slack, windowMs: 10_000 };
     const knowledge = new EngineKnowledge();
     const placer = new LocalPlacer({
       ...{ clock, random: new RandomSource(1), directory, knowledge, incarnation: 'i' },
-      onNews: () => undefined,
+      onStateChange: () => undefined,
     });
     return {
       config: {
@@ -240,10 +240,10 @@
       },
       group,
       rates: new SharedRates(clock, { over: 0, slackTokens: 0, windowMs: 1_000 }),
-      repeats: serviceRepeats(new RepeatBudget(allowance, () => 1)),
+      repeats: serviceRetryGate(new ServiceRetryBudget(allowance, () => 1)),
       placer,
       slowStart: knowledge.slowStart,
-      crashes: new CrashGuard({ self: 'h', clock, group, suspicion: { crashes: 3 } }),
+      crashes: new CrashGuard({ self: 'h', clock, group, suspicion: { minUpstreams: 3 } }),
       claims: undefined,
       endsWithdrawn: false,
       start: () => undefined,
@@ -274,13 +274,13 @@
       transfer: () => okAsync(undefined),
       decode: (cmd, signal) => {
         this.decodes.push(cfg.id);
-        return (this.options.decode?.[cfg.id] ?? wholeStream)(cmd, signal);
+        return (this.options.decodeScripts?.[cfg.id] ?? completeStream)(cmd, signal);
       },
       cancel: () => {
         this.cancelled.push(cfg.id);
         return okAsync(undefined);
       },
-      load: () => (this.options.answering?.includes(cfg.id) === true ? okAsync(LOAD) : rejected),
+      load: () => (this.options.probeable?.includes(cfg.id) === true ? okAsync(LOAD) : rejected),
       order: () => rejected,
     };
   }
@@ -290,14 +290,14 @@
       id: cfg.id,
       call: (call, signal) => {
         this.calls.push(cfg.id);
-        return (this.options.call?.[cfg.id] ?? wholeCall)(call, signal);
+        return (this.options.callScripts?.[cfg.id] ?? answeredCall)(call, signal);
       },
     };
   }
 }
 
 /** Yields the head and the events of a scripted stream; the text of each event is its position. */
-export async function* pieces(
+export async function* streamEvents(
   cmd: DecodeCommand,
   from: number,
   to: number,
@@ -312,35 +312,35 @@
 }
 
 /** Yields a complete stream of four events, starting at the command's position. */
-export async function* wholeStream(
+export async function* completeStream(
   cmd: DecodeCommand,
 ): AsyncGenerator<Result<DecodeEvent, UpstreamError>> {
-  yield* pieces(cmd, cmd.fromPosition, 4);
+  yield* streamEvents(cmd, cmd.fromPosition, 4);
   yield ok({ type: 'done', attempt: cmd.attempt, reason: 'stop', outputTokens: 4 });
 }
 
 /** Gets a script that fails with an error after the event before position `to`. */
-export function failing(to: number, error: UpstreamError): DecodeScript {
+export function failingStream(to: number, error: UpstreamError): DecodeScript {
   return async function* script(cmd) {
-    if (to > 0) yield* pieces(cmd, cmd.fromPosition, to);
+    if (to > 0) yield* streamEvents(cmd, cmd.fromPosition, to);
     yield err(error);
   };
 }
 
 /** Answers a call with status 200. */
-export function wholeCall(): ResultAsync<ServiceAnswer, UpstreamError> {
+export function answeredCall(): ResultAsync<ServiceAnswer, UpstreamError> {
   return okAsync({ status: 200, headers: {}, body: Buffer.from('ok') });
 }
 
 /** Joins the data events of an answer into its text. */
-export function textOfAnswer(events: readonly ForwardEvent[]): string {
+export function answerText(events: readonly ForwardEvent[]): string {
   return events
     .flatMap((event) => (event.type === 'data' ? [Buffer.from(event.bytes).toString()] : []))
     .join('');
 }
 
 /** Describes the last event of an answer: its type, or the refusal's code and execution. */
-export function endOf(events: readonly ForwardEvent[]): string {
+export function answerEnding(events: readonly ForwardEvent[]): string {
   const last = events.at(-1);
   if (last?.type !== 'refused') return last?.type ?? 'nothing';
   return `${last.refusal.code} ${last.refusal.execution}`;
--- a/packages/router/tests/support/GossipFleet.ts
+++ b/packages/router/tests/support/GossipFleet.ts
@@ -1,7 +1,13 @@
 import type { Millis } from '@camphorvane/core';
 import { VirtualClock } from '@camphorvane/core';
-import { CountedRates, DemandBook, EngineMoves, UseBook, PeerCounts } from '@camphorvane/decisions';
-import type { EngineMove, EngineUse } from '@camphorvane/decisions';
+import {
+  DistributedRateLimiter,
+  DemandTracker,
+  RoleChanges,
+  InFlightTracker,
+  PeerCounts,
+} from '@camphorvane/decisions';
+import type { RoleChange, InFlightLoad } from '@camphorvane/decisions';
 import type { DemandHint, HintLink, HostDigest, HostHint } from '@camphorvane/peer/hints';
 import { HostRoster } from '../../src/agreement/HostRoster.ts';
 import type { HostRecord } from '../../src/agreement/hostRecord.ts';
@@ -14,18 +20,18 @@
 export interface GossipHost {
   readonly name: string;
   readonly roster: HostRoster;
-  readonly rates: CountedRates;
-  readonly book: UseBook;
+  readonly rates: DistributedRateLimiter;
+  readonly book: InFlightTracker;
   /** Digests that it went by. */
   readonly digests: HostDigest[];
-  use: ReadonlyMap<string, EngineUse>;
-  readonly demand: DemandBook;
+  use: ReadonlyMap<string, InFlightLoad>;
+  readonly demand: DemandTracker;
   /** Requests that wait on it and can still be on time. */
   waiting: number;
   readonly peersWaiting: PeerCounts;
   /** Engines that it has ordered into another role. */
-  moves: readonly EngineMove[];
-  readonly heardMoves: EngineMoves;
+  moves: readonly RoleChange[];
+  readonly heardMoves: RoleChanges;
   sent: number;
   bytes: number;
   /** Says that there is something that peers should learn soon. */
@@ -60,16 +66,16 @@
     this.hosts = names.map((name, i) => {
       const roster = new HostRoster(name, zoneOf(i));
       roster.update(records, 0);
-      const rates = new CountedRates(TOLERANCE);
+      const rates = new DistributedRateLimiter(TOLERANCE);
       rates.setSharers(roster.getOthers(), 0);
       const host: GossipHost = {
-        ...{ name, roster, rates, book: new UseBook(), digests: [], use: new Map() },
+        ...{ name, roster, rates, book: new InFlightTracker(), digests: [], use: new Map() },
         ...{
-          demand: new DemandBook(),
+          demand: new DemandTracker(),
           waiting: 0,
           peersWaiting: new PeerCounts(500),
           moves: [],
-          heardMoves: new EngineMoves(),
+          heardMoves: new RoleChanges(),
         },
         ...{ sent: 0, bytes: 0, noteNews: () => undefined, isDown: false },
       };
@@ -95,7 +101,7 @@
         leaving: false,
         engines: [...host.use].map(([engine, use]) => ({ engine, ...use })),
         charged: [...host.rates.getTotals()],
-        demand: host.demand.getOwn().map((one) => ({ ...one, onTimeWaiting: host.waiting })),
+        demand: host.demand.getOwnTotals().map((one) => ({ ...one, onTimeWaiting: host.waiting })),
         moves: host.moves,
         down: [],
         calls: [],
@@ -120,7 +126,10 @@
         const { heard, incarnation } = digest;
         const totals = new Map(digest.charged);
         host.rates.receiveDigest({ relay: digest.host, incarnation, heard, totals }, clock.now());
-        const uses = digest.engines.map(({ engine, ...use }): [string, EngineUse] => [engine, use]);
+        const uses = digest.engines.map(({ engine, ...use }): [string, InFlightLoad] => [
+          engine,
+          use,
+        ]);
         host.book.receiveSum(new Map(uses), heard, clock.now());
         const relay = `${digest.host} ${incarnation}`;
         host.demand.receiveRelayed(relay, digest.demand, clock.now());
--- a/packages/router/tests/support/MemoryFleet.ts
+++ b/packages/router/tests/support/MemoryFleet.ts
@@ -13,7 +13,7 @@
 } from '@camphorvane/stand-ins';
 import { groupAgreement, Host, Metrics } from '@camphorvane/router';
 
-export const KEY = 'cvk_test_key_of_team_a';
+export const TEAM_KEY = 'cvk_test_key_of_team_a';
 
 /** Steps of {@link STEP_MS} after which a wait fails: one minute of virtual time. */
 const MAX_WAIT_STEPS = 600;
@@ -37,7 +37,7 @@
       {
         id: 'a',
         rate: { tokensPerSecond: 10_000, burstTokens: 20_000 },
-        keyDigests: [sha256Hex(KEY)],
+        keyDigests: [sha256Hex(TEAM_KEY)],
         models: [],
         weight: 1,
       },
@@ -83,15 +83,15 @@
   readonly id: string;
   readonly events: readonly CompletionEvent[];
   /** Closes the caller's connection. */
-  leave(): void;
+  disconnect(): void;
   /** Advances the clock until the completion has ended; gets all its events. */
-  ended(fleet: MemoryFleet): Promise<readonly CompletionEvent[]>;
+  waitForEnd(fleet: MemoryFleet): Promise<readonly CompletionEvent[]>;
 }
 
 /** Starts a completion as the HTTP interface does. */
 export function startCompletion(host: Host, given: Partial<CompletionRequest>): StartedCompletion {
   const req: CompletionRequest = {
-    key: KEY,
+    key: TEAM_KEY,
     model: 'm',
     prompt: 'hello there',
     maxTokens: 20,
@@ -111,8 +111,8 @@
   return {
     id,
     events,
-    leave: () => caller.abort(),
-    ended: async (fleet) => {
+    disconnect: () => caller.abort(),
+    waitForEnd: async (fleet) => {
       await fleet.advanceUntil(() => state.done);
       await running;
       return events;
@@ -127,7 +127,7 @@
 
 /** Hosts, engines, a plain service and an object store in memory, on a virtual clock. */
 export class MemoryFleet {
-  readonly key = KEY;
+  readonly key = TEAM_KEY;
 
   readonly clock = new VirtualClock();
 
@@ -193,20 +193,20 @@
   }
 
   /** Gets the host that currently coordinates the pool. */
-  stewardOfPool(): Host {
+  coordinatorOfPool(): Host {
     const coordinator = this.hosts.find((host) => host.getCoordinated().includes('m'));
     if (coordinator === undefined) throw new Error('no host coordinates the pool');
     return coordinator;
   }
 
   /** Partitions a host from all other hosts; it still reaches the store and the engines. */
-  cutOff(host: Host): void {
+  partition(host: Host): void {
     const name = host.getName();
     this.hosts.forEach((other) => this.network.cut(name, other.getName()));
   }
 
   /** Advances the clock until a promise has settled. */
-  async during<T>(promise: Promise<T>): Promise<T> {
+  async advanceUntilSettled<T>(promise: Promise<T>): Promise<T> {
     const state = { settled: false };
     const settled = promise.finally(() => {
       state.settled = true;
@@ -220,7 +220,7 @@
     const reply = await host.backend.callService(
       host.backend.newRequestId(),
       {
-        key: KEY,
+        key: TEAM_KEY,
         service: 'certs',
         method: 'POST',
         path: '/issue',
--- a/packages/router/tests/support/RoleFleet.ts
+++ b/packages/router/tests/support/RoleFleet.ts
@@ -11,7 +11,7 @@
 const MODEL = 'm';
 
 /** Simulated behavior of the store, the engines and the other hosts. */
-export interface RoleScript {
+export interface RoleFleetBehavior {
   readonly lease: LeaseState;
   /** Responses to orders, in sequence; the last one repeats. */
   readonly answers: readonly Result<void, UpstreamError>[];
@@ -22,7 +22,7 @@
 }
 
 /** An order that an engine received. */
-export interface GivenOrder {
+export interface ReceivedOrder {
   readonly engine: string;
   readonly order: EngineOrder;
 }
@@ -33,11 +33,11 @@
 
   readonly knowledge = new EngineKnowledge();
 
-  readonly orders: GivenOrder[] = [];
+  readonly orders: ReceivedOrder[] = [];
 
   announced = 0;
 
-  private behavior: RoleScript = {
+  private behavior: RoleFleetBehavior = {
     lease: { type: 'held', fence: 41 },
     answers: [ok(undefined)],
     report: ok(3),
@@ -53,8 +53,8 @@
   constructor() {
     const { clock, knowledge } = this;
     [...this.roles.keys()].forEach((id) => {
-      knowledge.health.prefillTook(id, 3_000, 100);
-      knowledge.health.tokensTook(id, 4);
+      knowledge.health.recordPrefill(id, 3_000, 100);
+      knowledge.health.recordTokenInterval(id, 4);
     });
     const control = new RoleControl({
       clock,
@@ -85,27 +85,27 @@
   }
 
   /** Changes parts of the simulated behavior. */
-  set(change: Partial<RoleScript>): void {
+  configure(change: Partial<RoleFleetBehavior>): void {
     this.behavior = { ...this.behavior, ...change };
   }
 
   /** Stops the role control. */
-  end(): void {
+  stop(): void {
     this.stopped.abort();
   }
 
   /** Advances the clock with one request every 100 ms. */
-  async play(forMs: number): Promise<void> {
+  async advanceUnderLoad(forMs: number): Promise<void> {
     const steps = Array.from({ length: forMs / 100 }, (_, i) => i);
     await steps.reduce(async (previous, i) => {
       await previous;
-      this.knowledge.demand.asked(MODEL, this.item(i), this.clock.now());
+      this.knowledge.demand.recordRequest(MODEL, this.item(i), this.clock.now());
       await this.clock.advance(100);
     }, Promise.resolve());
   }
 
   /** Lists an engine with another role, as after a completed change. */
-  complete(id: string, role: EngineRole): void {
+  setRole(id: string, role: EngineRole): void {
     this.roles.set(id, role);
   }
 
@@ -134,7 +134,7 @@
       order: async (order: EngineOrder) => {
         this.orders.push({ engine, order });
         const [answer = ok(undefined), ...rest] = this.behavior.answers;
-        if (rest.length > 0) this.set({ answers: rest });
+        if (rest.length > 0) this.configure({ answers: rest });
         return answer;
       },
     };
