--- a/packages/decisions/tests/local/placingUnderLoad.test.ts
+++ b/packages/decisions/tests/local/placingUnderLoad.test.ts
@@ -86,7 +86,7 @@
   const random = new RandomSource(seed);
   const hosts = Array.from({ length: load.hosts }, () => {
     const knowledge = new EngineKnowledge();
-    const {inFlight} = knowledge;
+    const { inFlight } = knowledge;
     const placement = new LocalPlacement(knowledge);
     placement.setEngines(ENGINES);
     const { peerBacklog: waiting } = knowledge;
