--- a/packages/router/tests/agreement/DeploymentFeed.test.ts
+++ b/packages/router/tests/agreement/DeploymentFeed.test.ts
@@ -44,7 +44,7 @@
 
   readonly feed: DeploymentFeed;
 
-  news = 0;
+  stateChanges = 0;
 
   constructor(store: ChangingStore, drainsZones = true) {
     this.slowStart.reshape(new Map(['s-a', 's-b'].map((id) => [id, SLOW_START])));
@@ -54,7 +54,7 @@
       mode: () => 'watch',
       pollMs: () => 2_000,
       onNews: () => {
-        this.news += 1;
+        this.stateChanges += 1;
       },
       slowStart: this.slowStart,
     });
@@ -87,16 +87,16 @@
   return store;
 }
 
-test('servers of a drained zone are out of use as long as its entry is there', async () => {
+test('servers of a zone get no work as long as its drain entry exists', async () => {
   const store = deployed();
   const host = new Host(store);
   await host.settle();
   assert.deepEqual(host.servers(), ['s-a', 's-b']);
   store.put('drains', 'a');
-  store.put('drains', 'a-zone-that-nobody-knows');
+  store.put('drains', 'unknown-zone');
   await host.settle();
   assert.deepEqual(host.servers(), ['s-b']);
-  store.put('drains', 'b', 'no object');
+  store.put('drains', 'b', 'not an object');
   await host.settle();
   assert.deepEqual(host.servers(), []);
   store.remove('drains', 'a');
@@ -104,8 +104,8 @@
   assert.deepEqual(host.servers(), ['s-a']);
 });
 
-// Guards against a host that starts during a drain and sends to the zone before it has read of it.
-test('a host that has not read which zones are drained does not serve', async () => {
+// Guards against a host that starts during a drain and sends to the zone before it has read the drain.
+test('a host that has not read the drained zones does not serve', async () => {
   const store = deployed();
   store.put('drains', 'a');
   const host = new Host(store);
@@ -117,22 +117,22 @@
   assert.deepEqual(host.servers(), ['s-b']);
 });
 
-// Guards against a host that the store turns away and that goes on sending to a drained zone.
-test('a peer that has read later is believed, and one that read earlier is not', async () => {
+// Guards against a host that can't read the store and goes on sending to a drained zone.
+test('newer drained zones from a peer are applied, older ones are not', async () => {
   const store = deployed();
   const host = new Host(store);
   await host.settle();
-  const { news } = host;
+  const { stateChanges } = host;
   host.feed.receiveDrained({ version: store.version + 5, zones: ['a'] });
   assert.deepEqual(host.servers(), ['s-b']);
-  assert.equal(host.news, news + 1);
+  assert.equal(host.stateChanges, stateChanges + 1);
   host.feed.receiveDrained({ version: store.version + 4, zones: [] });
   assert.deepEqual(host.servers(), ['s-b']);
   host.feed.receiveDrained({ version: store.version + 6, zones: [] });
   assert.deepEqual(host.servers(), ['s-a', 's-b']);
 });
 
-test('where zones are not drained the store is not asked for them', async () => {
+test('drained zones are not read where draining is disabled', async () => {
   const store = deployed();
   store.put('drains', 'a');
   const host = new Host(store, false);
@@ -140,8 +140,8 @@
   assert.deepEqual(host.servers(), ['s-a', 's-b']);
 });
 
-// Guards against full load on a zone that comes back cold while its servers' entries still say nothing of it.
-test('servers of a zone that comes back are bounded like servers that have just started', async () => {
+// Guards against full load on a restored zone whose servers have restarted and whose entries are stale.
+test('slow start applies to the servers of a restored zone', async () => {
   const store = deployed();
   const host = new Host(store);
   await host.settle();
@@ -156,7 +156,7 @@
   assert.equal(host.slowStart.allowance('s-a', now + SLOW_START.forMs), Infinity);
 });
 
-test('a server is bounded for as long as its entry says that it goes on starting', async () => {
+test('slow start applies to a server for the starting time in its entry', async () => {
   const store = deployed();
   const host = new Host(store);
   await host.settle();
--- a/packages/router/tests/agreement/DigestBuilder.test.ts
+++ b/packages/router/tests/agreement/DigestBuilder.test.ts
@@ -19,7 +19,7 @@
   ...more,
 });
 
-const use = (engine: string, streams: number) => ({
+const load = (engine: string, streams: number) => ({
   engine,
   prefillTokens: 10 * streams,
   streams,
@@ -28,38 +28,41 @@
 
 const HEAD = { host: 'relay', incarnation: 'r', sequence: 1, silent: [] };
 
-// Guards against a host that counts its own use of an engine twice: once itself, once in a digest.
-test('a digest holds what all hosts but the receiver have said', () => {
-  const board = new DigestBuilder();
-  board.receive(hint('a', { engines: [use('e', 2)], calls: [['s', 3]], down: ['x', 'y'] }), 0);
-  board.receive(hint('b', { engines: [use('e', 1), use('f', 4)], calls: [['s', 5]] }), 0);
-  board.receive(hint('c', { down: ['x'], leaving: true, versions: { config: 7, servers: 2 } }), 0);
-  const sums = board.sumUp();
-  const forA = board.digestFor('a', sums, HEAD);
-  assert.deepEqual(forA.engines, [use('e', 1), use('f', 4)]);
+// Guards against a host that counts its own load on an engine twice: by itself and from a digest.
+test('a digest sums up the hints of all hosts but the receiver', () => {
+  const builder = new DigestBuilder();
+  builder.receive(hint('a', { engines: [load('e', 2)], calls: [['s', 3]], down: ['x', 'y'] }), 0);
+  builder.receive(hint('b', { engines: [load('e', 1), load('f', 4)], calls: [['s', 5]] }), 0);
+  builder.receive(
+    hint('c', { down: ['x'], leaving: true, versions: { config: 7, servers: 2 } }),
+    0,
+  );
+  const sums = builder.sumUp();
+  const forA = builder.digestFor('a', sums, HEAD);
+  assert.deepEqual(forA.engines, [load('e', 1), load('f', 4)]);
   assert.deepEqual(forA.calls, [['s', 5]]);
   assert.deepEqual(forA.down, ['x']);
   assert.deepEqual(forA.leaving, ['c']);
   assert.equal(forA.heard, 2);
-  const forB = board.digestFor('b', sums, HEAD);
-  assert.deepEqual(forB.engines, [use('e', 2)]);
+  const forB = builder.digestFor('b', sums, HEAD);
+  assert.deepEqual(forB.engines, [load('e', 2)]);
   assert.deepEqual(forB.down, ['x', 'y']);
   assert.deepEqual(forB.versions, { config: 7, servers: 2 });
-  assert.equal(board.digestFor('stranger', sums, HEAD).heard, 3);
+  assert.equal(builder.digestFor('unknown', sums, HEAD).heard, 3);
 });
 
-test('a digest counts the requests that wait on all hosts but the receiver', () => {
-  const board = new DigestBuilder();
+test('a digest counts the requests queued on all hosts but the receiver', () => {
+  const builder = new DigestBuilder();
   const demand = (requests: number, onTimeWaiting: number) => [
     { model: 'm', requests, promptTokens: 0, memoryTokens: 0, memorySteps: 0, onTimeWaiting },
   ];
   const receiveAll = (requests: number): void => {
-    board.receive(hint('a', { demand: demand(requests, 2) }), 0);
-    board.receive(hint('b', { demand: demand(requests, 3) }), 0);
+    builder.receive(hint('a', { demand: demand(requests, 2) }), 0);
+    builder.receive(hint('b', { demand: demand(requests, 3) }), 0);
   };
   receiveAll(10);
   receiveAll(14);
-  const [forA] = board.digestFor('a', board.sumUp(), HEAD).demand;
+  const [forA] = builder.digestFor('a', builder.sumUp(), HEAD).demand;
   assert.equal(forA?.requests, 4);
   assert.equal(forA?.onTimeWaiting, 3);
 });
--- a/packages/router/tests/agreement/HostRoster.test.ts
+++ b/packages/router/tests/agreement/HostRoster.test.ts
@@ -21,26 +21,26 @@
   hosts.map((host) => ({ record: record(host), version }));
 
 const names = (roster: HostRoster, now: number): readonly string[] =>
-  roster.getMembers(now).map((mate) => mate.host);
+  roster.getMembers(now).map((member) => member.host);
 
-test('callers are sent to hosts that were heard of lately', () => {
+test('callers get the hosts with a recent hint', () => {
   const roster = new HostRoster('a', 'a');
   roster.update(list(['a', 'b', 'c']), 0);
   roster.receive(hint('b', false), 100);
   assert.deepEqual(names(roster, 200), ['a', 'b']);
 });
 
-// This host is cut off from the others, while callers reach all of them. Named alone, it would get
-// everybody's callers.
-test('a host that hears nobody names all', () => {
+// This host is partitioned from its peers, while callers reach all hosts. If it listed itself alone, it
+// would get the callers of all hosts.
+test('a host without a hint of any peer lists all hosts', () => {
   const roster = new HostRoster('a', 'a');
   roster.update(list(['a', 'b', 'c']), 0);
   roster.receive(hint('b', false), 0);
   assert.deepEqual(names(roster, 5_000), ['a', 'b', 'c']);
 });
 
-// The store is away for a minute. Nobody's record changes meanwhile, which must make nobody look dead.
-test('time without the store counts against nobody', () => {
+// The store is down for a minute. No record changes meanwhile, and no host may be taken for dead.
+test('records do not age during an outage of the store', () => {
   const roster = new HostRoster('a', 'a');
   roster.update(list(['a', 'b']), 0);
   roster.update(list(['a', 'b']), 60_000);
@@ -48,7 +48,7 @@
   assert.equal(roster.countSharers(), 2);
 });
 
-test('a record that nobody renews while the store is there expires', () => {
+test('a record that is not renewed while the store answers expires', () => {
   const roster = new HostRoster('a', 'a');
   Array.from({ length: roster.recordLifeMs() / 1_000 + 4 }, (_, i) => i * 1_000).forEach((now) =>
     roster.update(list(['a', 'b']), now),
@@ -56,9 +56,9 @@
   assert.deepEqual(roster.getExpired(), [{ host: 'b', version: 1 }]);
 });
 
-test('a leaving host is told by its own hint before its record says so', () => {
+test('a hint marks a host as leaving before its record does', () => {
   const roster = new HostRoster('a', 'a');
   roster.update(list(['a', 'b']), 0);
   roster.receive(hint('b', true), 0);
-  assert.equal(roster.getMembers(10).find((mate) => mate.host === 'b')?.leaving, true);
+  assert.equal(roster.getMembers(10).find((member) => member.host === 'b')?.leaving, true);
 });
--- a/packages/router/tests/agreement/ServerRoster.test.ts
+++ b/packages/router/tests/agreement/ServerRoster.test.ts
@@ -19,16 +19,16 @@
 const ids = (roster: ServerRoster, now: number): readonly string[] =>
   roster.list(now).map((one) => one.id);
 
-test('a server that is not listed any more gets no work', () => {
+test('a server that is no longer listed gets no work', () => {
   const roster = new ServerRoster();
   roster.update([server('a'), server('b')], 0, 0);
   roster.update([server('a')], 0, 100);
   assert.deepEqual(ids(roster, 100), ['a']);
 });
 
-// The store was away for some seconds, and entries that could not be renewed lapsed meanwhile. All
-// servers live. Without patience every caller would be refused in the moment of the store's return.
-test('servers that are missing after an outage are used for two seconds more', () => {
+// Entries that could not be renewed during an outage of the store have expired, although all servers
+// are up. Without a grace period every caller would be refused when the store returns.
+test('servers that are missing after an outage are used for two more seconds', () => {
   const roster = new ServerRoster();
   roster.update([server('a'), server('b')], 0, 0);
   roster.update([], 4_000, 10_000);
@@ -38,23 +38,23 @@
   assert.deepEqual(ids(roster, 12_400), ['a']);
 });
 
-// A server said that it leaves before the store went away. Sending to it after the store is back
-// would reach a server that is gone.
-test('a leaving server that is missing after an outage is gone', () => {
+// A server announced that it leaves before the outage of the store. Requests sent to it afterwards
+// would fail.
+test('a leaving server that is missing after an outage gets no work', () => {
   const roster = new ServerRoster();
   roster.update([server('a', true)], 0, 0);
   roster.update([], 4_000, 10_000);
   assert.deepEqual(ids(roster, 10_100), []);
 });
 
-test('a pause too short for an entry to lapse keeps nothing', () => {
+test('an outage too short for an entry to expire gives no grace period', () => {
   const roster = new ServerRoster();
   roster.update([server('a')], 0, 0);
   roster.update([], 300, 1_000);
   assert.deepEqual(ids(roster, 1_000), []);
 });
 
-test('the time at which patience ends is known', () => {
+test('the end of the grace period is known', () => {
   const roster = new ServerRoster();
   roster.update([server('a')], 0, 0);
   assert.equal(roster.nextChange(0), undefined);
@@ -63,8 +63,8 @@
   assert.ok(change !== undefined && change > 12_000 && change < 12_500);
 });
 
-// The store is back and lists a server, which leaves a moment later. Its entry is taken out while this
-// host still waits for entries that lapsed: used on, it would get requests for two seconds more.
+// A server is listed when the store returns and leaves a moment later. Its entry is removed within the
+// grace period for expired entries, which must not apply to it: it would get requests for two seconds.
 test('a server that leaves after the return of the store gets no work', () => {
   const roster = new ServerRoster();
   roster.update([server('a'), server('b')], 0, 0);
@@ -73,7 +73,7 @@
   assert.deepEqual(ids(roster, 10_300), ['a']);
 });
 
-test('a server that was missing after an outage, came back and left again is gone', () => {
+test('a server that was missing after an outage, came back and left gets no work', () => {
   const roster = new ServerRoster();
   roster.update([server('a'), server('b')], 0, 0);
   roster.update([server('a')], 4_000, 10_000);
--- a/packages/router/tests/measure/gossip.ts
+++ b/packages/router/tests/measure/gossip.ts
@@ -2,24 +2,24 @@
 
 const SECONDS = 4;
 const STEP_MS = 500;
-const FLEETS = [12, 91, 350];
+const FLEET_SIZES = [12, 91, 350];
 
-/** Prints what hosts of a fleet send in a second where those that take callers place two requests each. */
+/** Prints what the hosts of a fleet send per second while each serving host places two requests per second. */
 async function measure(count: number): Promise<void> {
   const fleet = new GossipFleet(count);
-  const use = new Map(
+  const load = new Map(
     Array.from({ length: 3 }, (_, i) => [
       `i-${i}`,
       { prefillTokens: 5_000, streams: 2, memoryTokens: 18_000 },
     ]),
   );
-  fleet.hosts.forEach((host) => Object.assign(host, { use }));
+  fleet.hosts.forEach((host) => Object.assign(host, { load }));
   await Array.from({ length: (SECONDS * 1_000) / STEP_MS }).reduce<Promise<void>>(
     async (before) => {
       await before;
       fleet.hosts
         .filter((host) => host.roster.isServing(fleet.clock.now()))
-        .forEach((host) => host.noteNews());
+        .forEach((host) => host.recordStateChange());
       await fleet.clock.advance(STEP_MS);
     },
     Promise.resolve(),
@@ -36,7 +36,7 @@
   );
 }
 
-void FLEETS.reduce<Promise<void>>(async (before, count) => {
+void FLEET_SIZES.reduce<Promise<void>>(async (before, count) => {
   await before;
   await measure(count);
 }, Promise.resolve());
--- a/packages/router/tests/support/ChangingStore.ts
+++ b/packages/router/tests/support/ChangingStore.ts
@@ -2,9 +2,9 @@
 import { err, okAsync, ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-const AWAY: PlatformError = { type: 'unavailable', message: 'away' };
+const UNAVAILABLE: PlatformError = { type: 'unavailable', message: 'store unavailable' };
 
-/** A store whose objects a test changes; its watches end with the next change of their kind. */
+/** In-memory store that a test changes; a change of a kind ends the watches of that kind. */
 export class ChangingStore {
   version = 1;
 
@@ -29,20 +29,20 @@
     this.endWatches(kind);
   }
 
-  /** Gets the calls by which kinds are followed. */
+  /** Gets the store interface with the calls that followers use. */
   asStore(): WatchableStore {
     const store: Pick<WatchableStore, 'snapshot' | 'watch'> = {
       snapshot: (kind) =>
         this.isAway
-          ? new ResultAsync(Promise.resolve(err(AWAY)))
+          ? new ResultAsync(Promise.resolve(err(UNAVAILABLE)))
           : okAsync({ objects: this.ofKind(kind), version: this.version }),
       watch: (kind, _after, _waitMs, signal) =>
         new ResultAsync(
           new Promise<Result<WatchBatch, PlatformError>>((resolve) => {
-            // A watch that ends without events has the follower read everything anew.
-            const end = (): void => resolve(err({ type: 'invalid', message: 'gone' }));
+            // A failed watch makes the follower read a new snapshot.
+            const end = (): void => resolve(err({ type: 'invalid', message: 'watch ended' }));
             this.watches.push({ kind, end });
-            signal.addEventListener('abort', () => resolve(err(AWAY)), { once: true });
+            signal.addEventListener('abort', () => resolve(err(UNAVAILABLE)), { once: true });
           }),
         ),
     };
--- a/packages/router/tests/support/GossipFleet.ts
+++ b/packages/router/tests/support/GossipFleet.ts
@@ -7,33 +7,34 @@
 import type { HostRecord } from '../../src/agreement/hostRecord.ts';
 import { PeerGossip } from '../../src/agreement/PeerGossip.ts';
 
-const DELAY_MS: Millis = 1;
+const NETWORK_DELAY_MS: Millis = 1;
 const TOLERANCE = { over: 0.1, slackTokens: 12_000, windowMs: 8_000 };
 
-/** A host that talks, with all that it does with what it hears. */
+/** Host that gossips, with the state that it builds from received hints and digests. */
 export interface GossipHost {
   readonly name: string;
   readonly roster: HostRoster;
   readonly rates: CountedRates;
-  readonly book: UseBook;
-  /** Digests that it went by. */
+  readonly inFlight: UseBook;
+  /** Digests of the relay that it follows. */
   readonly digests: HostDigest[];
-  use: ReadonlyMap<string, EngineUse>;
+  /** Load that it reports by engine. */
+  load: ReadonlyMap<string, EngineUse>;
   readonly demand: DemandBook;
-  /** Requests that wait on it and can still be on time. */
+  /** Queued requests that can still be on time. */
   waiting: number;
-  readonly peersWaiting: PeerCounts;
-  /** Engines that it has ordered into another role. */
+  readonly peerBacklog: PeerCounts;
+  /** Role changes that it has ordered. */
   moves: readonly EngineMove[];
-  readonly heardMoves: EngineMoves;
+  readonly roleChanges: EngineMoves;
   sent: number;
   bytes: number;
-  /** Says that there is something that peers should learn soon. */
-  noteNews: () => void;
+  /** Has the next hint sent early. */
+  recordStateChange: () => void;
   isDown: boolean;
 }
 
-/** Hosts that talk to each other over a network of datagrams, under a virtual clock. */
+/** Hosts that gossip over a simulated datagram network on a virtual clock. */
 export class GossipFleet {
   readonly clock = new VirtualClock();
 
@@ -44,13 +45,13 @@
     { hint?: (hint: HostHint) => void; digest?: (digest: HostDigest) => void }
   >();
 
-  /** One for each host: a signal is one process's own. */
+  /** One for each host, as in separate processes. */
   private readonly stops: AbortController[] = [];
 
-  /** Tells whether a datagram passes. */
+  /** Tells whether a datagram is delivered. */
   passes: (from: GossipHost, to: GossipHost) => boolean = () => true;
 
-  /** @param count - Hosts; the first ones are the strongest. */
+  /** @param count - Number of hosts; the first ones are the strongest. */
   constructor(count: number) {
     const names = Array.from({ length: count }, (_, i) => `h${String(i).padStart(3, '0')}`);
     const records = names.map((host, i) => ({
@@ -63,29 +64,29 @@
       const rates = new CountedRates(TOLERANCE);
       rates.setSharers(roster.getOthers(), 0);
       const host: GossipHost = {
-        ...{ name, roster, rates, book: new UseBook(), digests: [], use: new Map() },
+        ...{ name, roster, rates, inFlight: new UseBook(), digests: [], load: new Map() },
         ...{
           demand: new DemandBook(),
           waiting: 0,
-          peersWaiting: new PeerCounts(500),
+          peerBacklog: new PeerCounts(500),
           moves: [],
-          heardMoves: new EngineMoves(),
+          roleChanges: new EngineMoves(),
         },
-        ...{ sent: 0, bytes: 0, noteNews: () => undefined, isDown: false },
+        ...{ sent: 0, bytes: 0, recordStateChange: () => undefined, isDown: false },
       };
       return host;
     });
     this.hosts.forEach((host) => this.start(host));
   }
 
-  /** Ends all talk. */
+  /** Stops all hosts. */
   end(): void {
     this.stops.forEach((stop) => stop.abort());
   }
 
   private start(host: GossipHost): void {
     const { clock } = this;
-    const talk = new PeerGossip({
+    const gossip = new PeerGossip({
       self: host.name,
       incarnation: 's',
       clock,
@@ -93,7 +94,7 @@
       roster: host.roster,
       hint: () => ({
         leaving: false,
-        engines: [...host.use].map(([engine, use]) => ({ engine, ...use })),
+        engines: [...host.load].map(([engine, use]) => ({ engine, ...use })),
         charged: [...host.rates.getTotals()],
         demand: host.demand.getOwn().map((one) => ({ ...one, onTimeWaiting: host.waiting })),
         moves: host.moves,
@@ -105,14 +106,14 @@
       onHint: (hint) => {
         host.roster.receive(hint, clock.now());
         host.rates.receive(hint.host, hint.incarnation, new Map(hint.charged), clock.now());
-        host.book.receive(
+        host.inFlight.receive(
           hint.host,
           new Map(hint.engines.map((one) => [one.engine, one])),
           clock.now(),
         );
         host.demand.receive(hint.host, hint.incarnation, hint.demand, clock.now());
-        host.heardMoves.receive(hint.moves, clock.now());
-        host.peersWaiting.receive(hint.host, waitingOf(hint.demand), clock.now());
+        host.roleChanges.receive(hint.moves, clock.now());
+        host.peerBacklog.receive(hint.host, backlogOf(hint.demand), clock.now());
       },
       onDigest: (digest) => {
         host.digests.push(digest);
@@ -120,30 +121,33 @@
         const { heard, incarnation } = digest;
         const totals = new Map(digest.charged);
         host.rates.receiveDigest({ relay: digest.host, incarnation, heard, totals }, clock.now());
-        const uses = digest.engines.map(({ engine, ...use }): [string, EngineUse] => [engine, use]);
-        host.book.receiveSum(new Map(uses), heard, clock.now());
+        const loads = digest.engines.map(({ engine, ...use }): [string, EngineUse] => [
+          engine,
+          use,
+        ]);
+        host.inFlight.receiveSum(new Map(loads), heard, clock.now());
         const relay = `${digest.host} ${incarnation}`;
         host.demand.receiveRelayed(relay, digest.demand, clock.now());
-        host.heardMoves.receive(digest.moves, clock.now());
-        host.peersWaiting.receiveSum(waitingOf(digest.demand), heard, clock.now());
+        host.roleChanges.receive(digest.moves, clock.now());
+        host.peerBacklog.receiveSum(backlogOf(digest.demand), heard, clock.now());
       },
     });
-    Object.assign(host, { noteNews: () => talk.noteNews() });
+    Object.assign(host, { recordStateChange: () => gossip.noteNews() });
     const stop = new AbortController();
     this.stops.push(stop);
-    talk.start(stop.signal);
+    gossip.start(stop.signal);
   }
 
   private linkOf(from: GossipHost): HintLink {
     const handlers: { hint?: (hint: HostHint) => void; digest?: (digest: HostDigest) => void } = {};
     this.links.set(from.name, handlers);
-    const deliver = (address: string, bytes: number, run: (to: GossipHost) => void): void => {
+    const deliver = (address: string, bytes: number, receive: (to: GossipHost) => void): void => {
       const to = this.hosts.find((host) => `${host.name}:1` === address);
       if (from.isDown || to === undefined) return;
       Object.assign(from, { sent: from.sent + 1, bytes: from.bytes + bytes });
       if (!this.passes(from, to)) return;
-      this.clock.after(DELAY_MS, () => {
-        if (!to.isDown) run(to);
+      this.clock.after(NETWORK_DELAY_MS, () => {
+        if (!to.isDown) receive(to);
       });
     };
     return {
@@ -183,6 +187,6 @@
   };
 }
 
-function waitingOf(demand: readonly DemandHint[]): ReadonlyMap<string, number> {
+function backlogOf(demand: readonly DemandHint[]): ReadonlyMap<string, number> {
   return new Map(demand.map(({ model, onTimeWaiting }) => [model, onTimeWaiting]));
 }
