--- a/packages/router/src/host/Authenticator.ts
+++ b/packages/router/src/host/Authenticator.ts
@@ -5,22 +5,25 @@
 import type { Result } from 'neverthrow';
 import type { ConfigSource } from './ports.ts';
 
-/** A caller whose key is in force. */
+/** A caller authenticated by a key that is in force. */
 export interface AuthenticatedCaller {
   readonly team: TeamConfig;
-  /** Digest of the key, by which a later withdrawal finds the request; none on open routes. */
+  /**
+   * Digest of the key, used to abort the request when the key is withdrawn; undefined on routes
+   * without keys.
+   */
   readonly keyDigest: string | undefined;
 }
 
-/** Finds the team of a key, where the host can tell whether the key is still in force. */
+/** Authenticates callers by their API keys. */
 export class Authenticator {
   private readonly config: ConfigSource;
 
   private readonly keys: KeyRing;
 
   /**
-   * @param config - The configuration in force.
-   * @param keys - The keys in force.
+   * @param config - Tells whether the configuration is confirmed as current.
+   * @param keys - The keys of the configuration in force.
    */
   constructor(config: ConfigSource, keys: KeyRing) {
     this.config = config;
@@ -28,20 +31,20 @@
   }
 
   /**
-   * Finds the caller of a key.
+   * Authenticates the caller of a request.
    *
-   * A host that is cut off from the platform and from a majority of its group can't learn that a
-   * key was withdrawn. A key must stop working within seconds, so such a host refuses.
+   * A withdrawn key must stop working within seconds. A host that is partitioned from the platform
+   * and from the majority of its group can't learn of withdrawals, so it refuses all keys.
    *
-   * @param key - The key as shown, if one was.
-   * @returns The caller, or why there is none.
+   * @param key - The key sent with the request, if any.
+   * @returns The authenticated caller, or the refusal.
    */
   authenticate(key: string | undefined): Result<AuthenticatedCaller, Refusal> {
     if (key === undefined) {
-      return err(notRun('missing_key', 'Show a key as "Authorization: Bearer <key>".'));
+      return err(notRun('missing_key', 'Send an API key as "Authorization: Bearer <key>".'));
     }
     if (!this.config.isConfirmed()) {
-      const text = 'This host cannot tell at present whether keys are still in force.';
+      const text = 'This host cannot currently confirm that its list of API keys is up to date.';
       return err(notRun('key_state_unconfirmed', text, 1_000));
     }
     const found = this.keys.lookup(key);
@@ -49,9 +52,9 @@
       case 'team':
         return ok({ team: found.team, keyDigest: found.digest });
       case 'withdrawn':
-        return err(notRun('key_withdrawn', 'The key was withdrawn.'));
+        return err(notRun('key_withdrawn', 'The API key was withdrawn.'));
       case 'unknown':
-        return err(notRun('unknown_key', 'The key is not in force.'));
+        return err(notRun('unknown_key', 'The API key is not in force.'));
       default:
         return found satisfies never;
     }
--- a/packages/router/src/host/ConfigRelay.ts
+++ b/packages/router/src/host/ConfigRelay.ts
@@ -4,25 +4,25 @@
 import type { ConfigFollower, ConfigPeers, StoredObject } from '@camphorvane/store';
 import type { GroupGate } from './ports.ts';
 
-/** Milliseconds to wait for a peer. */
-const ASK_TIMEOUT_MS: Millis = 1_000;
+/** Timeout of a request to a peer, in milliseconds. */
+const PEER_TIMEOUT_MS: Millis = 1_000;
 
-/** Milliseconds between two looks at how old the platform's confirmation is. */
-const CHECK_PERIOD_MS: Millis = 500;
+/** Milliseconds between checks of the age of the platform's last confirmation. */
+const CHECK_INTERVAL_MS: Millis = 500;
 
 /**
- * Age at which the platform's confirmation counts as late, in milliseconds: above the length of one
- * watch, so that peers are asked only while the platform does not answer.
+ * Age above which the platform's confirmation is stale, in milliseconds. It exceeds the duration of
+ * one watch request, so that peers are asked only while the platform does not answer.
  */
-const LATE_AFTER_MS: Millis = 2_000;
+const STALE_AFTER_MS: Millis = 2_000;
 
-/** Requests between hosts about the configuration. */
+/** Peer requests that concern the configuration. */
 export type ConfigRequest = Extract<
   PeerRequest,
   { readonly type: 'config_version' | 'config_root' | 'config_chunk' }
 >;
 
-/** What a relay is made of. */
+/** Dependencies of a {@link ConfigRelay}. */
 export interface ConfigRelayOptions {
   readonly self: HostId;
   readonly clock: Clock;
@@ -31,37 +31,37 @@
 }
 
 /**
- * Passes the configuration between hosts while the platform does not answer.
+ * Distributes the configuration between hosts while the platform does not answer.
  *
- * A host that starts during an outage gets the newest version from its peers, and a majority that
- * knows of no newer version stands in for the platform's confirmation.
+ * A host that starts during an outage fetches the newest version from its peers. A majority of the
+ * group that knows of no newer version replaces the platform's confirmation.
  */
 export class ConfigRelay implements ConfigPeers {
   private readonly options: ConfigRelayOptions;
 
-  /** @param options - What the relay is made of. */
+  /** @param options - Dependencies of the relay. */
   constructor(options: ConfigRelayOptions) {
     this.options = options;
   }
 
-  /** Gets the root with the highest version that any reachable peer has in force. */
+  /** Fetches the root object with the highest version in force at any reachable peer. */
   async newestRoot(): Promise<StoredObject | undefined> {
-    const answers = await this.askAll({ type: 'config_root' });
+    const answers = await this.askAllPeers({ type: 'config_root' });
     return answers
       .map((res) => (res.type === 'config_root' ? res.object : undefined))
       .filter((object) => object !== undefined)
       .sort((a, b) => b.version - a.version)[0];
   }
 
-  /** Gets the text of a part from the first peer that holds it. */
+  /** Fetches the text of a configuration chunk from the first peer in the group that has it. */
   async chunk(digest: string): Promise<string | undefined> {
-    const answers = await this.askAll({ type: 'config_chunk', digest });
+    const answers = await this.askAllPeers({ type: 'config_chunk', digest });
     return answers
       .map((res) => (res.type === 'config_chunk' ? res.text : undefined))
       .find((text) => text !== undefined);
   }
 
-  /** Answers a peer from what this host has in force. */
+  /** Answers a peer from the configuration in force on this host. */
   answer(req: ConfigRequest, follower: ConfigFollower): PeerResponse {
     switch (req.type) {
       case 'config_version':
@@ -75,32 +75,32 @@
     }
   }
 
-  /** Has the version confirmed by a majority for as long as the platform does not do so. */
+  /** Has a majority of the group confirm the version while the platform's confirmation is stale. */
   async run(follower: ConfigFollower, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await sleep(this.options.clock, CHECK_PERIOD_MS, signal);
+      await sleep(this.options.clock, CHECK_INTERVAL_MS, signal);
       const now = this.options.clock.now();
-      const isLate = now - (follower.confirmedAt() ?? -Infinity) > LATE_AFTER_MS;
-      if (isLate && !signal.aborted) await this.confirmByMajority(follower);
+      const isStale = now - (follower.confirmedAt() ?? -Infinity) > STALE_AFTER_MS;
+      if (isStale && !signal.aborted) await this.confirmByMajority(follower);
     }
   }
 
   private async confirmByMajority(follower: ConfigFollower): Promise<void> {
-    const askedAt = this.options.clock.now();
+    const requestedAt = this.options.clock.now();
     const members = this.options.group.members().length;
-    const answers = await this.askAll({ type: 'config_version' });
+    const answers = await this.askAllPeers({ type: 'config_version' });
     const versions = answers.flatMap((res) => (res.type === 'config_version' ? [res.version] : []));
     if (versions.length + 1 <= members / 2) return;
-    follower.noteMajorityConfirmed(Math.max(follower.knownVersion(), ...versions), askedAt);
+    follower.noteMajorityConfirmed(Math.max(follower.knownVersion(), ...versions), requestedAt);
   }
 
-  private async askAll(req: PeerRequest): Promise<readonly PeerResponse[]> {
+  private async askAllPeers(req: PeerRequest): Promise<readonly PeerResponse[]> {
     const peers = this.options.group
       .members()
-      .filter((mate) => mate.host !== this.options.self)
-      .map((mate): PeerAddress => ({ host: mate.host, address: mate.peerAddress }));
+      .filter((member) => member.host !== this.options.self)
+      .map((member): PeerAddress => ({ host: member.host, address: member.peerAddress }));
     const answers = await Promise.all(
-      peers.map((peer) => this.options.link.ask(peer, req, ASK_TIMEOUT_MS)),
+      peers.map((peer) => this.options.link.ask(peer, req, PEER_TIMEOUT_MS)),
     );
     return answers.flatMap((answer) => (answer.isOk() ? [answer.value] : []));
   }
--- a/packages/router/src/host/GroupAdapter.ts
+++ b/packages/router/src/host/GroupAdapter.ts
@@ -3,10 +3,10 @@
 import type { GroupRunner, PeerAddress } from '@camphorvane/peer';
 import type { GroupGate, FleetMember, Unsubscribe } from './ports.ts';
 
-/** Milliseconds between two looks for the permission to act that somebody waits for. */
-const WAIT_STEP_MS: Millis = 20;
+/** Milliseconds between checks while a caller waits for the permission to act. */
+const POLL_INTERVAL_MS: Millis = 20;
 
-/** Shows a running group membership to the parts that serve. */
+/** Adapts the group membership protocol to the {@link GroupGate} that request handling uses. */
 export class GroupAdapter implements GroupGate {
   private readonly runner: GroupRunner;
 
@@ -15,9 +15,9 @@
   private readonly clock: Clock;
 
   /**
-   * @param runner - The membership.
-   * @param self - This host, which is named even before it has joined.
-   * @param clock - Times waits.
+   * @param runner - Runs the membership protocol.
+   * @param self - This host, which is listed as a member even before it has joined.
+   * @param clock - Clock for waits.
    */
   constructor(runner: GroupRunner, self: FleetMember, clock: Clock) {
     this.runner = runner;
@@ -25,9 +25,9 @@
     this.clock = clock;
   }
 
-  /** Gets all members, this host included. */
+  /** Gets all members of the group, including this host. */
   members(): readonly FleetMember[] {
-    const mates = this.runner.view().members.map((member) => ({
+    const members = this.runner.view().members.map((member) => ({
       host: member.host,
       zone: member.zone,
       callerAddress: member.callerAddress,
@@ -35,38 +35,44 @@
       leaving: member.draining,
       serving: true,
     }));
-    return mates.some((mate) => mate.host === this.self.host) ? mates : [...mates, this.self];
+    return members.some((member) => member.host === this.self.host)
+      ? members
+      : [...members, this.self];
   }
 
-  /** Gets where the coordinator of a key listens, if this host knows. */
+  /** Gets the peer address of the coordinator of a key, if known. */
   stewardOf(key: string): PeerAddress | undefined {
     const host = this.runner.stewardOf(key);
     return host === undefined ? undefined : this.addressOf(host);
   }
 
-  /** Tells whether this host may coordinate a key now. */
+  /** Checks whether this host may coordinate a key now. */
   maySteward(key: string): boolean {
     return this.runner.maySteward(key);
   }
 
-  /** Tells whether this host may use what it was given. */
+  /** Checks whether this host may use the capacity and rates granted to it. */
   mayAct(): boolean {
     return this.runner.mayAct();
   }
 
-  /** Waits so many milliseconds at most until this host may act. */
+  /**
+   * Waits until this host may act.
+   *
+   * @param waitMs - Longest wait, in milliseconds.
+   */
   async waitToAct(waitMs: Millis): Promise<void> {
     const until = this.clock.now() + waitMs;
-    while (!this.mayAct() && this.clock.now() < until) await sleep(this.clock, WAIT_STEP_MS);
+    while (!this.mayAct() && this.clock.now() < until) await sleep(this.clock, POLL_INTERVAL_MS);
   }
 
-  /** Calls back after each change of the epoch and of the permission to act. */
+  /** Subscribes to changes of the epoch and of the permission to act. */
   onChange(changed: () => void): Unsubscribe {
     return this.runner.onChange(changed);
   }
 
   private addressOf(host: HostId): PeerAddress | undefined {
-    const mate = this.members().find((one) => one.host === host);
-    return mate === undefined ? undefined : { host, address: mate.peerAddress };
+    const member = this.members().find((candidate) => candidate.host === host);
+    return member === undefined ? undefined : { host, address: member.peerAddress };
   }
 }
--- a/packages/router/src/host/Host.ts
+++ b/packages/router/src/host/Host.ts
@@ -12,20 +12,20 @@
 
 const log = stateLog('host');
 
-/** What a host is doing. */
+/** Lifecycle state of a host. */
 export type HostState = 'starting' | 'serving' | 'draining' | 'stopped';
 
-/** One host: the parts that serve callers, wired together. */
+/** One host of the router: owns its components and their lifecycle. */
 export class Host implements PeerHandler {
-  /** Serves what callers ask. */
+  /** Serves requests on the router's own interface. */
   readonly backend: CallerBackend;
 
-  /** Serves calls that are passed on. */
+  /** Serves requests that are forwarded to upstreams. */
   readonly forwarding: ForwardBackend;
 
   private readonly options: HostOptions;
 
-  private readonly stopping = new AbortController();
+  private readonly stopController = new AbortController();
 
   private readonly parts: HostParts;
 
@@ -33,7 +33,7 @@
 
   private closed = false;
 
-  /** @param options - What the host is made of. */
+  /** @param options - Settings and dependencies of the host. */
   constructor(options: HostOptions) {
     this.options = options;
     this.parts = assembleHost(options, {
@@ -44,25 +44,25 @@
     this.forwarding = this.parts.forwarding;
   }
 
-  /** Starts all tasks of the host. */
+  /** Starts all background tasks and enters the state `serving`. */
   start(): void {
-    const { signal } = this.stopping;
+    const { signal } = this.stopController;
     const { agreement } = this.parts;
-    agreement.config.onChange((config) => this.takeConfig(config));
-    agreement.group.onChange(() => this.takeGroup());
+    agreement.config.onChange((config) => this.applyConfig(config));
+    agreement.group.onChange(() => this.applyGroupChange());
     agreement.start(signal);
     void this.parts.keeper.run(signal);
     void this.parts.watch.run(signal);
     this.enterState('serving');
   }
 
-  /** Answers what other hosts ask. */
+  /** Answers a request from a peer. */
   answer(from: PeerSender, req: PeerRequest): Promise<PeerResponse> {
     return this.parts.agreement.answer(from, req);
   }
 
   /**
-   * Leaves without cutting a request: takes no new work, lets what runs end, then leaves the group.
+   * Drains the host: refuses new requests, waits for those in flight, leaves the group and stops.
    *
    * @returns A promise that resolves when the host has stopped.
    */
@@ -72,56 +72,56 @@
     await this.finishDrain(this.options.drainGraceMs);
   }
 
-  /** Tells everybody that this host leaves; calls that are passed on are still served. */
+  /** Announces that this host is leaving; forwarded requests are still accepted. */
   async beginDrain(): Promise<void> {
     this.enterState('draining');
     await this.parts.agreement.beginLeaving();
   }
 
   /**
-   * Takes nothing any more, lets what runs end, and stops.
+   * Refuses all new requests, waits for those in flight, leaves the group and stops.
    *
-   * @param graceMs - Milliseconds that running requests may take.
+   * @param graceMs - Longest wait for requests in flight, in milliseconds.
    * @returns A promise that resolves when the host has stopped.
    */
   async finishDrain(graceMs: Millis): Promise<void> {
     this.closed = true;
     const { agreement, inFlight } = this.parts;
-    const grace = sleep(this.options.clock, graceMs, this.stopping.signal);
+    const grace = sleep(this.options.clock, graceMs, this.stopController.signal);
     await Promise.race([inFlight.whenIdle(), grace]);
     if (agreement.claims !== undefined) await Promise.race([agreement.claims.drained(), grace]);
     await agreement.leave();
     this.stop();
   }
 
-  /** Ends all tasks at once. */
+  /** Stops all background tasks immediately. */
   stop(): void {
     this.enterState('stopped');
-    this.stopping.abort();
+    this.stopController.abort();
     this.parts.agreement.stop();
   }
 
-  /** Gets what the host is doing. */
+  /** Gets the lifecycle state. */
   getState(): HostState {
     return this.state;
   }
 
-  /** Gets the name of the host. */
+  /** Gets the id of the host. */
   getName(): HostId {
     return this.options.identity.host;
   }
 
-  /** Gets the models whose pools this host coordinates now. */
+  /** Gets the models whose pools this host currently coordinates. */
   getCoordinated(): readonly ModelId[] {
     return this.parts.agreement.getCoordinated();
   }
 
-  /** Gets the version of the configuration in force; 0 before the first. */
+  /** Gets the version of the configuration in force; 0 before there is one. */
   configVersion(): number {
     return this.parts.agreement.config.state().version;
   }
 
-  /** Gets the state in a line. */
+  /** Gets a summary of the state. */
   status(): HostStatus {
     const { identity } = this.options;
     return {
@@ -136,7 +136,7 @@
     };
   }
 
-  /** Gets the whole state in readable form, without any secret. */
+  /** Gets the full state for the state dump, without secrets. */
   dump(): object {
     return {
       identity: this.options.identity,
@@ -152,7 +152,7 @@
     };
   }
 
-  private takeConfig({ version, config }: VersionedConfig): void {
+  private applyConfig({ version, config }: VersionedConfig): void {
     this.parts.directory.reshape(config);
     this.parts.keys.update(config);
     this.parts.agreement.rates.setTeams(config.teams);
@@ -164,7 +164,7 @@
     log('config_in_force', { version, ended });
   }
 
-  private takeGroup(): void {
+  private applyGroupChange(): void {
     this.parts.agreement.placer.refresh();
     this.parts.gates.refresh();
   }
@@ -172,7 +172,7 @@
   private endWithdrawn(): number {
     return this.parts.inFlight.endWithdrawn(
       (digest, team) => this.parts.keys.isInForce(digest, team),
-      notRun('key_withdrawn', 'The key was withdrawn while the request ran.'),
+      notRun('key_withdrawn', 'The API key was withdrawn during the request.'),
     );
   }
 
--- a/packages/router/src/host/HostBackend.ts
+++ b/packages/router/src/host/HostBackend.ts
@@ -33,22 +33,25 @@
 import type { UpstreamDirectory } from './UpstreamDirectory.ts';
 
 /**
- * Milliseconds for which callers may keep the advice. A host that drains refuses after a few
- * seconds, and tells callers to ask again; a longer time would only send them to hosts that left.
+ * Milliseconds for which callers may cache the list of hosts. A draining host stops accepting
+ * requests after a few seconds; a longer lifetime would send callers to hosts that have left.
  */
-const ADVICE_LIFE_MS: Millis = 10_000;
+const HOST_LIST_TTL_MS: Millis = 10_000;
 
 /**
- * Milliseconds that a request waits for the confirmation of the keys or of the membership, where
- * one is missing: a host that wakes from a pause has both after one round of calls, and need not
- * refuse those who came first.
+ * Longest wait of a request for a missing confirmation of keys or membership, in milliseconds. A
+ * host that resumes from a process pause has both after one round of calls, so that it need not
+ * refuse the first requests.
  */
 const CONFIRM_WAIT_MS: Millis = 300;
 
-/** Milliseconds after which a caller of a draining host may try; it should ask for hosts first. */
+/**
+ * Retry delay given to callers of a draining host, in milliseconds. They should request the list of
+ * hosts before they retry.
+ */
 const DRAINING_RETRY_MS: Millis = 100;
 
-/** What the backend is made of. */
+/** Dependencies of a {@link HostBackend}. */
 export interface HostBackendOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -64,37 +67,41 @@
   readonly isDraining: () => boolean;
 }
 
-/** Takes in what callers ask, and has it served for the team of their key. */
+/** Authenticates requests on the router's own interface and dispatches them to their handlers. */
 export class HostBackend implements CallerBackend {
   private readonly options: HostBackendOptions;
 
-  private requests = 0;
+  private requestCount = 0;
 
   /** @param options - What the backend is made of. */
   constructor(options: HostBackendOptions) {
     this.options = options;
   }
 
-  /** Gets a new id for a request, which no other host or start gives. */
+  /** Creates a request id that is unique across hosts and restarts. */
   newRequestId(): RequestId {
-    this.requests += 1;
-    return `${this.options.incarnation}-${this.requests}`;
+    this.requestCount += 1;
+    return `${this.options.incarnation}-${this.requestCount}`;
   }
 
-  /** Gets the hosts for a caller, in random order so that callers spread over them. */
+  /** Gets the hosts that a caller may use, in random order to spread callers over them. */
   advise(key: string | undefined): Result<HostAdvice, Refusal> {
     return this.options.authenticator.authenticate(key).map(() => {
       const hosts = this.options.group
         .members()
-        .filter((mate) => !mate.leaving)
-        .map((mate) => ({ mate, rank: this.options.random.next() }))
+        .filter((member) => !member.leaving)
+        .map((member) => ({ member, rank: this.options.random.next() }))
         .sort((a, b) => a.rank - b.rank)
-        .map(({ mate }) => ({ host: mate.host, zone: mate.zone, address: mate.callerAddress }));
-      return { hosts, keepForMs: ADVICE_LIFE_MS };
+        .map(({ member }) => ({
+          host: member.host,
+          zone: member.zone,
+          address: member.callerAddress,
+        }));
+      return { hosts, keepForMs: HOST_LIST_TTL_MS };
     });
   }
 
-  /** Gets the models that a caller's team may ask for. */
+  /** Gets the models that the caller's team may use. */
   models(key: string | undefined): Result<readonly ModelId[], Refusal> {
     return this.options.authenticator
       .authenticate(key)
@@ -105,17 +112,17 @@
       );
   }
 
-  /** Serves a completion. */
+  /** Serves a completion as a stream of events. */
   async *complete(
     id: RequestId,
     req: CompletionRequest,
     signal: AbortSignal,
   ): AsyncGenerator<CompletionEvent> {
-    const caller = await this.accept(req.key);
+    const caller = await this.authenticate(req.key);
     const config = this.options.config.current()?.config;
     if (caller.isErr() || config === undefined) {
-      const refusal = caller.isErr() ? caller.error : noConfig();
-      this.noteRefusal(refusal);
+      const refusal = caller.isErr() ? caller.error : noConfigRefusal();
+      this.countRefusal(refusal);
       yield { type: 'refused', refusal };
       return;
     }
@@ -133,9 +140,9 @@
         signal: abort.signal,
       });
       for await (const event of events) {
-        const shown = textEvent(event);
-        this.noteEvent(shown);
-        yield shown;
+        const completionEvent = toCompletionEvent(event);
+        this.countEvent(completionEvent);
+        yield completionEvent;
       }
     } finally {
       leave();
@@ -148,23 +155,23 @@
     req: ServiceRequest,
     signal: AbortSignal,
   ): Promise<Result<ServiceReply, Refusal>> {
-    const reply = await this.callAccepted(id, req, signal);
-    if (reply.isErr()) this.noteRefusal(reply.error);
+    const reply = await this.authenticateAndCall(id, req, signal);
+    if (reply.isErr()) this.countRefusal(reply.error);
     else this.options.metrics.count('request.whole', { kind: 'service' });
     return reply;
   }
 
-  private async callAccepted(
+  private async authenticateAndCall(
     id: RequestId,
     req: ServiceRequest,
     signal: AbortSignal,
   ): Promise<Result<ServiceReply, Refusal>> {
-    const caller = await this.accept(req.key);
+    const caller = await this.authenticate(req.key);
     if (caller.isErr()) return err(caller.error);
     const service = this.options.directory.getService(req.service);
     const route = service === undefined ? undefined : findRoute(service, req.method, req.path);
     if (service === undefined || route === undefined) {
-      return err(notRun('unknown_service', 'No route of a service has this method and path.'));
+      return err(notRun('unknown_service', 'No service has a route for this method and path.'));
     }
     const { abort, leave } = this.options.inFlight.join(id, caller.value, signal);
     try {
@@ -176,10 +183,16 @@
     }
   }
 
-  private async accept(key: string | undefined): Promise<Result<AuthenticatedCaller, Refusal>> {
+  private async authenticate(
+    key: string | undefined,
+  ): Promise<Result<AuthenticatedCaller, Refusal>> {
     if (this.options.isDraining()) {
       return err(
-        notRun('host_draining', 'This host is leaving; ask for hosts again.', DRAINING_RETRY_MS),
+        notRun(
+          'host_draining',
+          'This host is draining; request the list of hosts again.',
+          DRAINING_RETRY_MS,
+        ),
       );
     }
     await Promise.all([
@@ -201,7 +214,7 @@
     };
   }
 
-  private noteEvent(event: CompletionEvent): void {
+  private countEvent(event: CompletionEvent): void {
     switch (event.type) {
       case 'token':
         break;
@@ -209,20 +222,20 @@
         this.options.metrics.count('request.whole', { kind: 'completion' });
         break;
       case 'refused':
-        this.noteRefusal(event.refusal);
+        this.countRefusal(event.refusal);
         break;
       default:
         event satisfies never;
     }
   }
 
-  private noteRefusal(refusal: Refusal): void {
+  private countRefusal(refusal: Refusal): void {
     this.options.metrics.count('request.refused', { code: refusal.code });
   }
 }
 
-/** Engines that run text give text alone; anything else would be a fault of this program. */
-function textEvent(event: ServingEvent): CompletionEvent {
+/** Converts an event of a completion. Events of forwarded streams are an internal error here. */
+function toCompletionEvent(event: ServingEvent): CompletionEvent {
   switch (event.type) {
     case 'token':
     case 'done':
@@ -233,13 +246,16 @@
     case 'answer':
       return {
         type: 'refused',
-        refusal: outcomeUnknown('internal', 'An engine answered a text with something else.'),
+        refusal: outcomeUnknown(
+          'internal',
+          'The engine answered the completion with an unexpected kind of event.',
+        ),
       };
     default:
       return event satisfies never;
   }
 }
 
-function noConfig(): Refusal {
-  return notRun('key_state_unconfirmed', 'This host has no configuration yet.', 1_000);
+function noConfigRefusal(): Refusal {
+  return notRun('key_state_unconfirmed', 'This host has not loaded a configuration yet.', 1_000);
 }
--- a/packages/router/src/host/HostOptions.ts
+++ b/packages/router/src/host/HostOptions.ts
@@ -3,11 +3,15 @@
 import type { Metrics } from '../observe/Metrics.ts';
 import type { EngineFactory, HostIdentity, PlainServerFactory } from './ports.ts';
 
-/** What a host is made of; every edge is an interface, so that a host also runs in memory. */
+/**
+ * Settings and dependencies of a host. All I/O is behind interfaces, so that a host also runs in
+ * memory.
+ */
 export interface HostOptions {
   readonly identity: HostIdentity;
-  /** Names this start of the host; never repeats. */
+  /** Id of this run of the host process, unique across restarts. */
   readonly incarnation: string;
+  /** Longest wait for requests in flight on a drain, in milliseconds. */
   readonly drainGraceMs: Millis;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/packages/router/src/host/InFlight.ts
+++ b/packages/router/src/host/InFlight.ts
@@ -1,48 +1,48 @@
 import type { Refusal, RequestId, TeamId } from '@camphorvane/core';
 import type { AuthenticatedCaller } from './Authenticator.ts';
 
-/** One request that is being served. */
+/** A request in flight. */
 export interface InFlightRequest {
   readonly id: RequestId;
   readonly team: TeamId;
-  /** Digest of the caller's key; undefined on routes that need none. */
+  /** Digest of the caller's key; undefined on routes without keys. */
   readonly keyDigest: string | undefined;
-  /** Aborted when the caller has gone or the host ends the request. */
+  /** Aborted when the caller disconnects or the host ends the request. */
   readonly abort: AbortController;
 }
 
-/** The requests that a host is serving. */
+/** Tracks the requests in flight on a host. */
 export class InFlight {
   private readonly requests = new Map<RequestId, InFlightRequest>();
 
-  private readonly idle: (() => void)[] = [];
+  private readonly idleWaiters: (() => void)[] = [];
 
-  /** Gets how many requests are being served. */
+  /** Gets the number of requests in flight. */
   size(): number {
     return this.requests.size;
   }
 
   /**
-   * Enters a request.
+   * Adds a request.
    *
    * @param request - The request.
-   * @returns A function that takes it out again.
+   * @returns A function that removes it.
    */
   enter(request: InFlightRequest): () => void {
     this.requests.set(request.id, request);
     return () => {
       this.requests.delete(request.id);
-      if (this.requests.size === 0) this.idle.splice(0).forEach((resolve) => resolve());
+      if (this.requests.size === 0) this.idleWaiters.splice(0).forEach((resolve) => resolve());
     };
   }
 
   /**
-   * Enters a caller's request, and ties its end to its caller's.
+   * Adds a caller's request, which is aborted when its caller disconnects.
    *
-   * @param id - The request.
-   * @param caller - Who sent it.
-   * @param signal - Aborted when the caller has gone.
-   * @returns What ends the request, and a function that takes it out again.
+   * @param id - Id of the request.
+   * @param caller - The authenticated caller.
+   * @param signal - Aborted when the caller disconnects.
+   * @returns The controller that aborts the request, and a function that removes it.
    */
   join(
     id: RequestId,
@@ -50,23 +50,23 @@
     signal: AbortSignal,
   ): { readonly abort: AbortController; readonly leave: () => void } {
     const abort = new AbortController();
-    const gone = (): void => abort.abort();
-    signal.addEventListener('abort', gone, { once: true });
-    if (signal.aborted) gone();
-    const out = this.enter({ id, team: caller.team.id, keyDigest: caller.keyDigest, abort });
+    const onCallerAbort = (): void => abort.abort();
+    signal.addEventListener('abort', onCallerAbort, { once: true });
+    if (signal.aborted) onCallerAbort();
+    const remove = this.enter({ id, team: caller.team.id, keyDigest: caller.keyDigest, abort });
     const leave = (): void => {
-      signal.removeEventListener('abort', gone);
-      out();
+      signal.removeEventListener('abort', onCallerAbort);
+      remove();
     };
     return { abort, leave };
   }
 
   /**
-   * Ends every request whose key is no longer in force.
+   * Aborts all requests whose key is no longer in force.
    *
-   * @param isInForce - Tells whether the key with a digest still stands for a team.
-   * @param refusal - What their callers are told.
-   * @returns How many were ended.
+   * @param isInForce - Checks whether the key with a digest still belongs to a team.
+   * @param refusal - The reason of the abort, which callers receive.
+   * @returns The number of aborted requests.
    */
   endWithdrawn(isInForce: (keyDigest: string, team: TeamId) => boolean, refusal: Refusal): number {
     const withdrawn = [...this.requests.values()].filter(
@@ -76,11 +76,11 @@
     return withdrawn.length;
   }
 
-  /** Gets a promise that resolves once no request is being served. */
+  /** Waits until no request is in flight. */
   whenIdle(): Promise<void> {
     if (this.requests.size === 0) return Promise.resolve();
     return new Promise((resolve) => {
-      this.idle.push(resolve);
+      this.idleWaiters.push(resolve);
     });
   }
 }
--- a/packages/router/src/host/PlatformHost.ts
+++ b/packages/router/src/host/PlatformHost.ts
@@ -19,30 +19,31 @@
 import { callerAddresses } from './callerAddresses.ts';
 import { Host } from './Host.ts';
 
-/** Bytes of randomness that name one start of a host; enough that no two starts share a name. */
+/** Random bytes of an incarnation id; enough to be unique across restarts. */
 const INCARNATION_BYTES = 9;
 
 /**
- * Milliseconds for which a leaving host still takes requests. Callers leave it at their next answer,
- * or when they ask for hosts again; a request that comes later might not end within the grace.
+ * Milliseconds for which a leaving host still accepts requests. Callers stop using it after their
+ * next response or host list; requests accepted later might not finish within the grace period.
  */
-const LEAVING_MS: Millis = 2_500;
+const LEAVING_PERIOD_MS: Millis = 2_500;
 
-/** Milliseconds before the end of the grace at which what still runs is given up. */
-const END_MARGIN_MS: Millis = 400;
+/** Milliseconds before the end of the grace period at which requests in flight are abandoned. */
+const GRACE_END_MARGIN_MS: Millis = 400;
 
-/** A host on the platform that listens. */
+/** A running host on the users' platform. */
 export interface PlatformHost {
   readonly host: Host;
-  /** Leaves without cutting a request that can end within the grace. */
+  /** Drains and stops the host; requests that can finish within the grace period do. */
   leave(): Promise<void>;
 }
 
 /**
- * Starts a host on the users' platform: the same serving, before the platform's callers and servers.
+ * Starts a host on the users' platform. Request handling is the same as for other hosts; the
+ * callers' interface and the clients of upstreams are those of the platform.
  *
- * @param settings - The checked settings.
- * @returns The running host, or one sentence that says why it can't run.
+ * @param settings - The validated settings.
+ * @returns The running host, or the reason why it can't start, as one sentence.
  */
 export async function startPlatformHost(
   settings: PlatformSettings,
@@ -76,15 +77,15 @@
         drainsZones: settings.drainsZones,
         metrics,
       },
-      (made) => {
-        agreement = made;
+      (created) => {
+        agreement = created;
       },
     ),
     engines: (cfg) => new PlatformEngine(cfg, clock),
     servers: (cfg) => new PlatformServer(cfg, clock),
     metrics,
   });
-  if (agreement === undefined) return err('the agreement was not made');
+  if (agreement === undefined) return err('the host did not create its agreement');
   const { config, group, isReady } = parts(agreement);
   let leaving = false;
   const ingress = new Ingress({
@@ -115,9 +116,9 @@
     leave: async () => {
       leaving = true;
       void host.beginDrain();
-      await sleep(clock, LEAVING_MS);
+      await sleep(clock, LEAVING_PERIOD_MS);
       ingress.stopListening();
-      await host.finishDrain(settings.graceMs - LEAVING_MS - END_MARGIN_MS);
+      await host.finishDrain(settings.graceMs - LEAVING_PERIOD_MS - GRACE_END_MARGIN_MS);
     },
   });
 }
--- a/packages/router/src/host/RunningHost.ts
+++ b/packages/router/src/host/RunningHost.ts
@@ -19,29 +19,29 @@
 import type { HostSettings } from '../settings/HostSettings.ts';
 import { Host } from './Host.ts';
 
-/** Bytes of randomness that name one start of a host; enough that no two starts share a name. */
+/** Random bytes of an incarnation id; enough to be unique across restarts. */
 const INCARNATION_BYTES = 9;
 
-/** Name in the certificates of all hosts, where links are TLS; hosts are called by IP numbers. */
+/** Server name in the TLS certificates of all hosts, which are addressed by IP. */
 const TLS_SERVER_NAME = 'camphorvane';
 
-/** A host that listens. */
+/** A running host with open listeners. */
 export interface RunningHost {
   readonly host: Host;
   readonly zone: ZoneId;
-  /** Resolves when an operator asks the host to drain. */
+  /** Resolves when an operator requests a drain. */
   readonly drainAsked: Promise<void>;
-  /** Leaves without cutting a request, then closes all listeners. */
+  /** Drains the host, then closes all listeners and links. */
   drain(): Promise<void>;
-  /** Closes everything at once. */
+  /** Stops the host and closes all listeners and links immediately. */
   stop(): Promise<void>;
 }
 
 /**
- * Starts a host from its settings: listeners, links, clients.
+ * Starts a host from its settings, with its listeners, peer links and upstream clients.
  *
- * @param settings - The checked settings.
- * @returns The running host, or one sentence that says why it can't run.
+ * @param settings - The validated settings.
+ * @returns The running host, or the reason why it can't start, as one sentence.
  */
 export async function startHost(settings: HostSettings): Promise<Result<RunningHost, string>> {
   const clock = new SystemClock();
@@ -71,7 +71,7 @@
     random: new RandomSource(randomBytes(4).readInt32BE()),
     engines: (cfg) => new HttpModelEngine(cfg.id, cfg.url, clock),
     servers: (cfg) => new HttpPlainServer(cfg.id, cfg.url, clock),
-    metrics: metricsOf(settings),
+    metrics: createMetrics(settings),
   });
   const peers = new GrpcPeerServer({ clock, self, credential, tls: tls.value, handler: host });
   const bound = await peers.start(addressOf(settings.peers));
@@ -79,21 +79,21 @@
   const callers = new CallerServer({
     backend: host.backend,
     clock,
-    isFleet: hopCheck(settings.peers.credential),
+    isFleet: createHopCheck(settings.peers.credential),
   });
   const listening = await listen(callers, settings);
   if (listening.isErr()) {
     await peers.stop();
     return err(listening.error);
   }
-  const asked = operatorsWish();
+  const drainRequest = createDrainRequest();
   const operators = new OperatorServer({
     credential: settings.operators.credential,
     secrets: [settings.peers.credential],
     backend: {
       dump: () => Promise.resolve({ host: host.dump(), links: link.dump(), peers: peers.dump() }),
       status: () => host.status(),
-      drain: asked.ask,
+      drain: drainRequest.ask,
     },
   });
   const opened = await listenForOperators(operators, settings);
@@ -109,7 +109,7 @@
   return ok({
     host,
     zone: settings.host.zone,
-    drainAsked: asked.promise,
+    drainAsked: drainRequest.promise,
     drain: async () => {
       await host.drain();
       await close();
@@ -131,7 +131,7 @@
   return tls === undefined ? ok(undefined) : PeerTls.read({ ...tls, serverName: TLS_SERVER_NAME });
 }
 
-function metricsOf(settings: HostSettings): Metrics {
+function createMetrics(settings: HostSettings): Metrics {
   const { metrics, host } = settings;
   return metrics === undefined
     ? new Metrics()
@@ -160,8 +160,8 @@
   }
 }
 
-/** Carries an operator's wish to drain from the port to whoever ends the process. */
-function operatorsWish(): { readonly promise: Promise<void>; readonly ask: () => void } {
+/** Creates a promise that resolves when an operator requests a drain. */
+function createDrainRequest(): { readonly promise: Promise<void>; readonly ask: () => void } {
   let ask = (): void => undefined;
   const promise = new Promise<void>((resolve) => {
     ask = resolve;
@@ -170,13 +170,13 @@
 }
 
 /**
- * Gets the check of the hop header, whose value only hosts of the fleet can make.
+ * Creates the check of the hop header, an HMAC that only hosts of the fleet can compute.
  *
  * @param secret - The fleet's credential.
- * @returns The check, in constant time.
+ * @returns A check that compares in constant time.
  */
-function hopCheck(secret: string): (shown: string) => boolean {
+function createHopCheck(secret: string): (value: string) => boolean {
   const expected = createHmac('sha256', secret).update('hop').digest('hex');
-  return (shown) =>
-    shown.length === expected.length && timingSafeEqual(Buffer.from(shown), Buffer.from(expected));
+  return (value) =>
+    value.length === expected.length && timingSafeEqual(Buffer.from(value), Buffer.from(expected));
 }
--- a/packages/router/src/host/UpstreamDirectory.ts
+++ b/packages/router/src/host/UpstreamDirectory.ts
@@ -12,23 +12,23 @@
 import type { ModelEngine, PlainServer } from '@camphorvane/upstream';
 import type { EngineFactory, PlainServerFactory } from './ports.ts';
 
-/** An engine of the configuration with its client. */
+/** A configured engine and its client. */
 export interface DirectoryEngine {
   readonly cfg: EngineConfig;
   readonly engine: ModelEngine;
 }
 
-/** A server of a plain service with its client. */
+/** A configured server of a plain service and its client. */
 export interface DirectoryServer {
   readonly cfg: ServiceServer;
   readonly server: PlainServer;
 }
 
-/** The upstreams of the configuration in force, with one client each. */
+/** Registry of the upstreams of the configuration in force, with one client for each. */
 export class UpstreamDirectory {
-  private readonly makeEngine: EngineFactory;
+  private readonly createEngine: EngineFactory;
 
-  private readonly makeServer: PlainServerFactory;
+  private readonly createServer: PlainServerFactory;
 
   private engines: ReadonlyMap<UpstreamId, DirectoryEngine> = new Map();
 
@@ -39,75 +39,75 @@
   private services: ReadonlyMap<ServiceId, ServiceConfig> = new Map();
 
   /**
-   * @param makeEngine - Makes the client of an engine.
-   * @param makeServer - Makes the client of a server.
+   * @param createEngine - Creates the client of an engine.
+   * @param createServer - Creates the client of a server.
    */
-  constructor(makeEngine: EngineFactory, makeServer: PlainServerFactory) {
-    this.makeEngine = makeEngine;
-    this.makeServer = makeServer;
+  constructor(createEngine: EngineFactory, createServer: PlainServerFactory) {
+    this.createEngine = createEngine;
+    this.createServer = createServer;
   }
 
   /**
-   * Takes a configuration into force; clients whose address is unchanged are kept. Upstreams of drained
-   * zones are left out, so that placing, capacity and roles go by what remains.
+   * Applies a configuration, and keeps clients whose URL is unchanged. Upstreams in drained zones are
+   * excluded, so that placement, capacity and roles are based on the remaining ones.
    *
    * @param config - The configuration.
    */
   reshape(config: RoutingConfig): void {
     const { drainedZones = [] } = config;
-    const isUsed = ({ zone }: { readonly zone: ZoneId }): boolean => !drainedZones.includes(zone);
-    const pools = config.pools.map((pool) => ({ ...pool, engines: pool.engines.filter(isUsed) }));
+    const isActive = ({ zone }: { readonly zone: ZoneId }): boolean => !drainedZones.includes(zone);
+    const pools = config.pools.map((pool) => ({ ...pool, engines: pool.engines.filter(isActive) }));
     const services = config.services.map((service) => ({
       ...service,
-      servers: service.servers.filter(isUsed),
+      servers: service.servers.filter(isActive),
     }));
     this.pools = new Map(pools.map((pool) => [pool.model, pool]));
     this.services = new Map(services.map((service) => [service.id, service]));
     const engineCfgs = pools.flatMap((pool) => pool.engines);
-    this.engines = new Map(engineCfgs.map((cfg) => [cfg.id, this.keepEngine(cfg)]));
+    this.engines = new Map(engineCfgs.map((cfg) => [cfg.id, this.reuseOrCreateEngine(cfg)]));
     const serverCfgs = services.flatMap((service) => service.servers);
-    this.servers = new Map(serverCfgs.map((cfg) => [cfg.id, this.keepServer(cfg)]));
+    this.servers = new Map(serverCfgs.map((cfg) => [cfg.id, this.reuseOrCreateServer(cfg)]));
   }
 
-  /** Gets the models of all pools. */
+  /** Gets the models of all configured pools. */
   getModels(): readonly ModelId[] {
     return [...this.pools.keys()];
   }
 
-  /** Gets the pool of a model, if there is one. */
+  /** Gets the pool of a model, if one is configured. */
   getPool(model: ModelId): PoolConfig | undefined {
     return this.pools.get(model);
   }
 
-  /** Gets a plain service, if there is one. */
+  /** Gets a plain service, if it is configured. */
   getService(service: ServiceId): ServiceConfig | undefined {
     return this.services.get(service);
   }
 
-  /** Gets an engine, if the configuration has it. */
+  /** Gets an engine, if it is configured. */
   getEngine(id: UpstreamId): DirectoryEngine | undefined {
     return this.engines.get(id);
   }
 
-  /** Gets the names of all engines of the configuration. */
+  /** Gets the ids of all configured engines. */
   getEngineIds(): readonly UpstreamId[] {
     return [...this.engines.keys()];
   }
 
-  /** Gets a server of a plain service, if the configuration has it. */
+  /** Gets a server of a plain service, if it is configured. */
   getServer(id: UpstreamId): DirectoryServer | undefined {
     return this.servers.get(id);
   }
 
-  private keepEngine(cfg: EngineConfig): DirectoryEngine {
-    const old = this.engines.get(cfg.id);
-    const same = old !== undefined && old.cfg.url === cfg.url;
-    return { cfg, engine: same ? old.engine : this.makeEngine(cfg) };
+  private reuseOrCreateEngine(cfg: EngineConfig): DirectoryEngine {
+    const previous = this.engines.get(cfg.id);
+    const isUnchanged = previous !== undefined && previous.cfg.url === cfg.url;
+    return { cfg, engine: isUnchanged ? previous.engine : this.createEngine(cfg) };
   }
 
-  private keepServer(cfg: ServiceServer): DirectoryServer {
-    const old = this.servers.get(cfg.id);
-    const same = old !== undefined && old.cfg.url === cfg.url;
-    return { cfg, server: same ? old.server : this.makeServer(cfg) };
+  private reuseOrCreateServer(cfg: ServiceServer): DirectoryServer {
+    const previous = this.servers.get(cfg.id);
+    const isUnchanged = previous !== undefined && previous.cfg.url === cfg.url;
+    return { cfg, server: isUnchanged ? previous.server : this.createServer(cfg) };
   }
 }
--- a/packages/router/src/host/assembleHost.ts
+++ b/packages/router/src/host/assembleHost.ts
@@ -14,15 +14,15 @@
 import { InFlight } from './InFlight.ts';
 import { UpstreamDirectory } from './UpstreamDirectory.ts';
 
-/** What tells whether the host takes new work. */
+/** Checks whether the host accepts new requests. */
 export interface HostGates {
-  /** True while the host drains; callers of our own interface are sent away at once. */
+  /** True once a drain has begun; requests on the router's own interface are refused immediately. */
   readonly isDraining: () => boolean;
-  /** True once calls that are passed on are refused too. */
+  /** True once forwarded requests are refused as well. */
   readonly isClosed: () => boolean;
 }
 
-/** All parts of a host. */
+/** Components of a host. */
 export interface HostParts {
   readonly agreement: HostAgreement;
   readonly keys: KeyRing;
@@ -36,11 +36,11 @@
 }
 
 /**
- * Makes the parts of a host and joins them; nothing runs yet.
+ * Creates and wires the components of a host without starting any task.
  *
- * @param options - What the host is made of.
- * @param hostGates - Tells whether the host takes new work.
- * @returns The parts.
+ * @param options - Settings and dependencies of the host.
+ * @param hostGates - Checks whether the host accepts new requests.
+ * @returns The components.
  */
 export function assembleHost(options: HostOptions, hostGates: HostGates): HostParts {
   const { clock, random, identity, incarnation, metrics } = options;
@@ -79,8 +79,8 @@
     self: { host: identity.host, incarnation },
     metrics,
   });
-  const shared = { clock, random, authenticator, config, directory, inFlight, metrics };
-  const serving = { completions, services };
+  const commonOptions = { clock, random, authenticator, config, directory, inFlight, metrics };
+  const handlers = { completions, services };
   return {
     agreement,
     keys,
@@ -89,7 +89,7 @@
     watch,
     gates,
     inFlight,
-    backend: new HostBackend({ ...shared, ...serving, ...hostGates, group, incarnation }),
-    forwarding: new Forwarding({ ...shared, ...serving, ...hostGates }),
+    backend: new HostBackend({ ...commonOptions, ...handlers, ...hostGates, group, incarnation }),
+    forwarding: new Forwarding({ ...commonOptions, ...handlers, ...hostGates }),
   };
 }
--- a/packages/router/src/host/callerAddresses.ts
+++ b/packages/router/src/host/callerAddresses.ts
@@ -1,26 +1,29 @@
 import type { ZoneId } from '@camphorvane/core';
 import type { FleetMember } from './ports.ts';
 
-/** Hosts that are named to a caller at least, where there are as many. */
-const LEAST_NAMED = 2;
+/** Smallest number of hosts listed to a caller, where that many exist. */
+const MIN_LISTED_HOSTS = 2;
 
 /**
- * Gets where a caller may connect.
+ * Gets the addresses of the hosts that a caller may connect to.
  *
- * Where some hosts stand by, callers are spread over the serving hosts of their own zone: an answer holds
- * a bounded number of addresses, and one that is the same for all zones would bring the callers of all of
- * them to the same hosts.
+ * While some hosts are on standby, callers get only the serving hosts of their own zone, if there are
+ * enough of them. A list holds a bounded number of addresses, and the same list for all zones would
+ * concentrate all callers on the same few hosts.
  *
- * @param hosts - All hosts that were heard of lately.
- * @param zone - The caller's zone.
- * @returns Addresses, those of the caller's zone first.
+ * @param hosts - All hosts seen alive recently.
+ * @param zone - The availability zone of the caller.
+ * @returns Addresses, those in the caller's zone first.
  */
 export function callerAddresses(hosts: readonly FleetMember[], zone: ZoneId): readonly string[] {
   const staying = hosts.filter((host) => !host.leaving);
   const serving = staying.filter((host) => host.serving);
-  const usable = serving.length >= LEAST_NAMED ? serving : staying;
-  const near = usable.filter((host) => host.zone === zone);
-  const far = usable.filter((host) => host.zone !== zone);
-  const isNearEnough = usable.length < staying.length && near.length >= LEAST_NAMED;
-  return (isNearEnough ? near : [...near, ...far]).map((host) => host.callerAddress);
+  const candidates = serving.length >= MIN_LISTED_HOSTS ? serving : staying;
+  const sameZone = candidates.filter((host) => host.zone === zone);
+  const otherZones = candidates.filter((host) => host.zone !== zone);
+  const isSameZoneEnough =
+    candidates.length < staying.length && sameZone.length >= MIN_LISTED_HOSTS;
+  return (isSameZoneEnough ? sameZone : [...sameZone, ...otherZones]).map(
+    (host) => host.callerAddress,
+  );
 }
--- a/packages/router/src/host/ports.ts
+++ b/packages/router/src/host/ports.ts
@@ -14,72 +14,81 @@
 import type { ModelEngine, PlainServer } from '@camphorvane/upstream';
 import type { ResultAsync } from 'neverthrow';
 
-/** Ends a subscription. */
+/** Cancels a subscription. */
 export type Unsubscribe = () => void;
 
-/** Where a host gets its configuration. */
+/** Source of the configuration. */
 export interface ConfigSource {
-  /** Gets the configuration in force, if there is one yet. */
+  /** Gets the configuration in force, if one is loaded. */
   current(): VersionedConfig | undefined;
 
-  /** Tells whether the version is known to have been the newest a few seconds ago. */
+  /** Checks whether the version was confirmed as the newest within the last few seconds. */
   isConfirmed(): boolean;
 
-  /** Tries to have the version confirmed, for so many milliseconds. */
+  /**
+   * Tries to confirm that the version is the newest.
+   *
+   * @param waitMs - Longest wait, in milliseconds.
+   * @returns Whether the version is confirmed.
+   */
   confirmNow(waitMs: Millis): Promise<boolean>;
 }
 
-/** A host of the group, as callers and peers reach it. */
+/** A host of the fleet, with its addresses for callers and peers. */
 export interface FleetMember {
   readonly host: HostId;
   readonly zone: ZoneId;
   readonly callerAddress: string;
   readonly peerAddress: string;
   readonly leaving: boolean;
-  /** Whether it takes callers; one that does not stands by. */
+  /** Whether callers are sent to it; otherwise it is on standby. */
   readonly serving: boolean;
 }
 
-/** Who a host is, and how callers and peers reach it. */
+/** Identity of a host, with its addresses for callers and peers. */
 export type HostIdentity = Omit<FleetMember, 'leaving' | 'serving'>;
 
-/** What serving needs to know of the group. */
+/** Group membership and coordination, as request handling sees them. */
 export interface GroupGate {
-  /** Gets all members, this host included. */
+  /** Gets all members of the group, including this host. */
   members(): readonly FleetMember[];
 
-  /** Gets who coordinates a key now, if this host knows. */
+  /** Gets the peer address of the current coordinator of a key, if known. */
   stewardOf(key: string): PeerAddress | undefined;
 
-  /** Tells whether this host may coordinate a key now; asked before each decision. */
+  /** Checks whether this host may coordinate a key now; called before each decision. */
   maySteward(key: string): boolean;
 
-  /** Tells whether this host may use what it was given at all. */
+  /** Checks whether this host may use the capacity and rates granted to it. */
   mayAct(): boolean;
 
-  /** Waits so many milliseconds at most until this host may act. */
+  /**
+   * Waits until this host may act.
+   *
+   * @param waitMs - Longest wait, in milliseconds.
+   */
   waitToAct(waitMs: Millis): Promise<void>;
 
-  /** Calls back after each change of members or stewards. */
+  /** Subscribes to changes of members and coordinators. */
   onChange(changed: () => void): Unsubscribe;
 }
 
-/** Tokens taken from a team's rate for one request. */
+/** Tokens charged to a team's rate for one request. */
 export interface RateCharge {
   readonly team: TeamId;
   readonly tokens: Tokens;
 }
 
-/** Charges teams; over all hosts together none gets more than its rate and burst. */
+/** Enforces the rate limits of teams. Over all hosts together, no team exceeds its rate and burst. */
 export interface RateGate {
-  /** Takes tokens, or refuses. */
+  /** Charges tokens to a team's rate, or refuses. */
   charge(team: TeamId, tokens: Tokens): ResultAsync<RateCharge, Refusal>;
 
-  /** Gives back what a request did not use. */
+  /** Refunds the tokens that a request did not use. */
   refund(charge: RateCharge, unused: Tokens): void;
 }
 
-/** What a request is sent to once more. */
+/** Identifies a retry: the team, the pool or service, and the upstream that failed. */
 export interface RepeatTarget {
   readonly team: TeamId;
   /** Pool or service that serves the request. */
@@ -88,21 +97,25 @@
   readonly upstream: UpstreamId;
 }
 
-/** Bounds how much work is repeated. */
+/** Enforces the retry budget. */
 export interface RepeatGate {
-  /** Notes a request's first attempt, with the upstreams that it uses. */
+  /** Records the first attempt of a request, with the upstreams that it uses. */
   attempted(
     request: Omit<RepeatTarget, 'upstream'>,
     upstreams: readonly UpstreamId[],
     now: Millis,
   ): void;
 
-  /** Pays for one more attempt; false where there is nothing left. */
+  /**
+   * Charges one retry to the budget.
+   *
+   * @returns False if the budget is exhausted.
+   */
   tryRepeat(target: RepeatTarget, now: Millis): boolean;
 }
 
-/** Makes the client of an engine. */
+/** Creates the client of an engine. */
 export type EngineFactory = (cfg: EngineConfig) => ModelEngine;
 
-/** Makes the client of a plain service's server. */
+/** Creates the client of a server of a plain service. */
 export type PlainServerFactory = (cfg: ServiceServer) => PlainServer;
--- a/packages/router/src/host/slowStartBounds.ts
+++ b/packages/router/src/host/slowStartBounds.ts
@@ -1,10 +1,10 @@
 import type { RoutingConfig, SlowStartBounds, UpstreamId } from '@camphorvane/core';
 
 /**
- * Gets the bounds of all upstreams of a configuration that must not get their full load at once.
+ * Collects the slow-start bounds of all upstreams in a configuration.
  *
  * @param config - The configuration.
- * @returns Bounds by upstream; upstreams without any are left out.
+ * @returns Bounds by upstream id; upstreams without slow start are omitted.
  */
 export function slowStartBounds({
   pools,
--- a/packages/router/tests/Host.test.ts
+++ b/packages/router/tests/Host.test.ts
@@ -3,26 +3,26 @@
 import { answerToken } from '@camphorvane/stand-ins';
 import { MemoryFleet, startCompletion, textOf } from './support/MemoryFleet.ts';
 
-const expected = (prompt: string, tokens: number): string =>
+const expectedText = (prompt: string, tokens: number): string =>
   Array.from({ length: tokens }, (_, position) => answerToken(prompt, position)).join('');
 
-const question = (i: number): string => `question ${i} #tokens=20`;
+const promptOf = (i: number): string => `question ${i} #tokens=20`;
 
-test('a completion is served whole, whichever host it reaches', async () => {
+test('every host serves a complete completion', async () => {
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const answers = await Promise.all(
-    fleet.hosts.map((host, i) => startCompletion(host, { prompt: question(i) }).ended(fleet)),
+    fleet.hosts.map((host, i) => startCompletion(host, { prompt: promptOf(i) }).ended(fleet)),
   );
   answers.forEach((events, i) => {
-    assert.equal(textOf(events), expected(question(i), 20));
+    assert.equal(textOf(events), expectedText(promptOf(i), 20));
     assert.equal(events.at(-1)?.type, 'done');
   });
 });
 
-test('memory of a summary whose caller has gone is freed', async () => {
-  // The caller closes its connection in the middle of a long answer. Were the engine not told, the
-  // memory would stay held to the end of an answer that nobody reads, and others would be refused.
+test('engine memory of a summary is released when its caller disconnects', async () => {
+  // The caller disconnects in the middle of a long answer. If the engine were not cancelled, its
+  // memory would stay reserved until the unread answer ends, and other requests would be refused.
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const call = startCompletion(fleet.host(0), {
@@ -38,9 +38,9 @@
   assert.deepEqual(fleet.heldAttempts(), []);
 });
 
-test('an answer goes on at the exact token when its decode engine crashes', async () => {
-  // The engine that streams an answer dies half-way. The caller must get the rest from another
-  // engine, with no token twice and none left out; it notices at most a pause.
+test('an answer resumes at the exact token when its decode engine crashes', async () => {
+  // The decode engine crashes in the middle of an answer. Another engine must resume it without a
+  // duplicate or missing token; the caller sees a pause at most.
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const call = startCompletion(fleet.host(1), {
@@ -52,13 +52,13 @@
   assert.ok(before > 10);
   fleet.decodeEngineOf(call).crash();
   const events = await call.ended(fleet);
-  assert.equal(textOf(events), expected('long comparison #tokens=200', 200));
+  assert.equal(textOf(events), expectedText('long comparison #tokens=200', 200));
   assert.ok(events.length > before);
 });
 
-test('a withdrawn key ends the answers that it started', async () => {
-  // An operator withdraws a key while an answer is being streamed to whoever holds it. The stream
-  // must end within seconds, with an error that says so and not as a short but whole answer.
+test('withdrawing a key aborts the answers in flight under it', async () => {
+  // An operator withdraws a key while an answer is streamed to its holder. The stream must end within
+  // seconds, with an error that names the cause, not as a complete but short answer.
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const call = startCompletion(fleet.host(2), {
@@ -74,9 +74,9 @@
   assert.deepEqual(fleet.heldAttempts(), []);
 });
 
-test('a draining host cuts nothing, takes nothing new and is named to nobody', async () => {
-  // A host is replaced while it streams an answer. Its caller must get the whole answer; other
-  // callers must not be sent to it any more, and are told that nothing ran when they come anyway.
+test('a draining host finishes requests in flight, refuses new ones and is not listed', async () => {
+  // A host is replaced while it streams an answer. The caller must get the complete answer. The host
+  // must no longer be listed, and must refuse new requests as not run.
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const call = startCompletion(fleet.host(0), { prompt: 'slow #tokens=300', maxTokens: 300 });
@@ -90,15 +90,15 @@
   );
   const advice = fleet.host(1).backend.advise(fleet.key)._unsafeUnwrap();
   assert.deepEqual(advice.hosts.map((host) => host.host).sort(), ['h2', 'h3']);
-  assert.equal(textOf(await call.ended(fleet)), expected('slow #tokens=300', 300));
+  assert.equal(textOf(await call.ended(fleet)), expectedText('slow #tokens=300', 300));
   await fleet.clock.advance(20_000);
   await drained;
   assert.equal(fleet.host(0).getState(), 'stopped');
 });
 
-test('a certificate is issued once, whichever hosts its caller tries', async () => {
-  // The answer to a certificate's issue is lost on its way, and the caller sends it again to two
-  // other hosts. A second certificate would mean a recall; the first answer must come back instead.
+test('a certificate is issued once when its caller retries at other hosts', async () => {
+  // The response to an issue call is lost, and the caller retries at two other hosts. A second
+  // certificate would have to be recalled, so both must replay the first response.
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const issue = (host: number): Promise<string> => fleet.issueCertificate(fleet.host(host), 'k1');
@@ -109,9 +109,9 @@
   assert.deepEqual(again, [`${first} replayed`, `${first} replayed`]);
 });
 
-test('a call that must not repeat says "unknown" once its server may have run it', async () => {
-  // The server goes down while it issues a certificate. Nobody can tell whether it was issued, so
-  // the caller must hear "unknown", also when it asks again, and no other server may get the call.
+test('a non-repeatable call reports "unknown" once its server may have run it', async () => {
+  // The server crashes while it issues a certificate, so whether it was issued can't be known. The
+  // caller must get "unknown", also on a retry, and the call must not reach another server.
   const fleet = new MemoryFleet(3);
   await fleet.start();
   const issued = fleet.issueCertificate(fleet.host(0), 'k2');
@@ -124,23 +124,23 @@
   assert.ok(fleet.service.records.length <= 1);
 });
 
-test('lookups are served while the host that coordinates their pool is silent', async () => {
-  // The host that gives out engine memory is frozen. Until another host may take over, nobody knows
-  // what is free; were lookups to wait for that, each would miss its target for some seconds.
+test('lookups are served while the coordinator of their pool is unreachable', async () => {
+  // The coordinator of the pool's engine memory is partitioned. Until another host may take over, free
+  // memory is unknown; if lookups waited for that, each would miss its target for several seconds.
   const fleet = new MemoryFleet(3);
   await fleet.start();
-  const steward = fleet.stewardOfPool();
-  const others = fleet.hosts.filter((host) => host !== steward);
-  fleet.cutOff(steward);
+  const coordinator = fleet.stewardOfPool();
+  const others = fleet.hosts.filter((host) => host !== coordinator);
+  fleet.cutOff(coordinator);
   const calls = Array.from({ length: 8 }, (_, i) => i);
   const answers = await Promise.all(
     calls.map(async (i) => {
       await fleet.clock.advance(0);
-      const host = others[i % others.length] ?? steward;
+      const host = others[i % others.length] ?? coordinator;
       return startCompletion(host, { prompt: `lookup ${i} #tokens=5` }).ended(fleet);
     }),
   );
   answers.forEach((events, i) => {
-    assert.equal(textOf(events), expected(`lookup ${i} #tokens=5`, 5));
+    assert.equal(textOf(events), expectedText(`lookup ${i} #tokens=5`, 5));
   });
 });
--- a/packages/router/tests/host/callerAddresses.test.ts
+++ b/packages/router/tests/host/callerAddresses.test.ts
@@ -3,37 +3,37 @@
 import { callerAddresses } from '../../src/host/callerAddresses.ts';
 import type { FleetMember } from '../../src/host/ports.ts';
 
-const mate = (host: string, zone: string, more: Partial<FleetMember> = {}): FleetMember => ({
+const memberOf = (host: string, zone: string, more: Partial<FleetMember> = {}): FleetMember => ({
   ...{ host, zone, callerAddress: host, peerAddress: host, leaving: false, serving: true },
   ...more,
 });
 
-test('where all hosts serve, all are named, those of the zone of the caller first', () => {
-  const hosts = [mate('a1', 'a'), mate('b1', 'b'), mate('a2', 'a')];
+test('lists all hosts, same zone first, while none is on standby', () => {
+  const hosts = [memberOf('a1', 'a'), memberOf('b1', 'b'), memberOf('a2', 'a')];
   assert.deepEqual(callerAddresses(hosts, 'b'), ['b1', 'a1', 'a2']);
 });
 
-// Guards against callers of all zones who are sent to the same few hosts of one zone.
-test('where hosts stand by, callers are sent to the serving hosts of their own zone', () => {
+// With one list for all zones, the callers of all zones would connect to the same few hosts.
+test('lists only serving hosts of the same zone while others are on standby', () => {
   const zone = (name: string): readonly FleetMember[] => [
-    ...[1, 2, 3].map((i) => mate(`${name}${i}`, name)),
-    ...[4, 5, 6].map((i) => mate(`${name}${i}`, name, { serving: false })),
+    ...[1, 2, 3].map((i) => memberOf(`${name}${i}`, name)),
+    ...[4, 5, 6].map((i) => memberOf(`${name}${i}`, name, { serving: false })),
   ];
   const hosts = ['a', 'b', 'c'].flatMap(zone);
   assert.deepEqual(callerAddresses(hosts, 'b'), ['b1', 'b2', 'b3']);
   assert.equal(callerAddresses(hosts, 'elsewhere').length, 9);
 });
 
-test('a zone whose serving hosts are gone gets those of other zones', () => {
+test('lists serving hosts of other zones when the zone has none left', () => {
   const hosts = [
-    mate('a1', 'a', { leaving: true }),
-    mate('a2', 'a', { serving: false }),
-    ...['b1', 'b2'].map((host) => mate(host, 'b')),
+    memberOf('a1', 'a', { leaving: true }),
+    memberOf('a2', 'a', { serving: false }),
+    ...['b1', 'b2'].map((host) => memberOf(host, 'b')),
   ];
   assert.deepEqual(callerAddresses(hosts, 'a'), ['b1', 'b2']);
 });
 
-test('hosts that stand by are named where nobody serves', () => {
-  const hosts = ['a1', 'a2'].map((host) => mate(host, 'a', { serving: false }));
+test('lists standby hosts when no host is serving', () => {
+  const hosts = ['a1', 'a2'].map((host) => memberOf(host, 'a', { serving: false }));
   assert.deepEqual(callerAddresses(hosts, 'a'), ['a1', 'a2']);
 });
