--- a/packages/router/src/observe/BoundedLog.ts
+++ b/packages/router/src/observe/BoundedLog.ts
@@ -1,27 +1,27 @@
 import type { Clock, Millis } from '@camphorvane/core';
 import type { LogFields } from './LogFields.ts';
 
-/** Where lines go. */
+/** Destination of log lines. */
 export interface LineSink {
-  /** Writes a line without waiting. */
+  /** Writes a line without blocking. */
   write(fields: object): void;
 }
 
 /**
- * Lines of one kind in a second. A host serves about a hundred requests a second at its peak; more
- * lines than this tell nothing new, and would cost processor time that requests need.
+ * Limit on the lines of one kind per second. A host serves about 100 requests/s at peak; lines beyond
+ * the limit add no information, and would take CPU time from requests.
  */
-const LINES_PER_SECOND = 150;
+const MAX_LINES_PER_SECOND = 150;
 
-const SECOND_MS: Millis = 1_000;
+const WINDOW_MS: Millis = 1_000;
 
 interface Window {
-  readonly since: Millis;
+  readonly startedAt: Millis;
   readonly written: number;
-  readonly left: number;
+  readonly dropped: number;
 }
 
-/** Lets through so many lines of each kind a second, and says how many it left out. */
+/** Limits the rate of each kind of log line, and reports how many lines were dropped. */
 export class BoundedLog {
   private readonly clock: Clock;
 
@@ -30,8 +30,8 @@
   private readonly windows = new Map<string, Window>();
 
   /**
-   * @param clock - Measures seconds.
-   * @param sink - Where lines go.
+   * @param clock - Clock of the rate limit and of timestamps.
+   * @param sink - Destination of the lines.
    */
   constructor(clock: Clock, sink: LineSink) {
     this.clock = clock;
@@ -39,35 +39,35 @@
   }
 
   /**
-   * Writes a line, or counts it as left out.
+   * Writes a line, or counts it as dropped if the limit of its kind is reached.
    *
-   * @param part - Part of the program.
-   * @param event - What happened.
-   * @param fields - Its details.
+   * @param part - Component that logs.
+   * @param event - Name of the event.
+   * @param fields - Fields of the event.
    */
   write(part: string, event: string, fields: LogFields): void {
     const kind = `${part}.${event}`;
     const now = this.clock.now();
-    const window = this.windowOf(kind, now);
-    if (window.written >= LINES_PER_SECOND) {
-      this.windows.set(kind, { ...window, left: window.left + 1 });
+    const window = this.currentWindow(kind, now);
+    if (window.written >= MAX_LINES_PER_SECOND) {
+      this.windows.set(kind, { ...window, dropped: window.dropped + 1 });
       return;
     }
     this.windows.set(kind, { ...window, written: window.written + 1 });
     this.sink.write({ t: Math.round(this.clock.wall()), part, event, ...fields });
   }
 
-  private windowOf(kind: string, now: Millis): Window {
+  private currentWindow(kind: string, now: Millis): Window {
     const window = this.windows.get(kind);
-    if (window !== undefined && now - window.since < SECOND_MS) return window;
-    if (window !== undefined && window.left > 0) {
+    if (window !== undefined && now - window.startedAt < WINDOW_MS) return window;
+    if (window !== undefined && window.dropped > 0) {
       this.sink.write({
         t: Math.round(this.clock.wall()),
         event: 'left_out',
         kind,
-        lines: window.left,
+        lines: window.dropped,
       });
     }
-    return { since: now, written: 0, left: 0 };
+    return { startedAt: now, written: 0, dropped: 0 };
   }
 }
--- a/packages/router/src/observe/LogFields.ts
+++ b/packages/router/src/observe/LogFields.ts
@@ -1,2 +1,2 @@
-/** What a log line carries besides its name; plain values, never a key or a prompt. */
+/** Fields of a log line. Values are primitive and never contain API keys or prompts. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
--- a/packages/router/src/observe/Metrics.ts
+++ b/packages/router/src/observe/Metrics.ts
@@ -1,7 +1,7 @@
 import { StatsD } from 'hot-shots';
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** Names of all counters; docs/OPERATIONS.md lists them. */
+/** Names of all counters; docs/OPERATIONS.md describes them. */
 export type CounterName =
   | 'request.accepted'
   | 'request.whole'
@@ -21,22 +21,23 @@
 /** Names of all gauges. */
 export type GaugeName = 'engines';
 
-/** Names of all timings, in milliseconds. */
+/** Names of all timings, which are in milliseconds. */
 export type TimingName =
   'request.ttft' | 'request.whole' | 'request.pause' | 'request.token_interval';
 
-/** Bounds of the histograms, in milliseconds: from a hop between zones to a caller's patience. */
+/** Bucket bounds of the histograms in milliseconds, from a hop between zones to the longest wait of callers. */
 const BUCKETS_MS = [
   5, 10, 25, 50, 100, 200, 300, 450, 600, 900, 1_400, 2_000, 4_000, 8_000, 14_000,
 ];
 
-/** Small closed sets of values by which a metric is split; never ids. */
+/** Tags of a metric. Their values come from small fixed sets, never from ids. */
 export type MetricTags = Readonly<Record<string, string>>;
 
 /**
- * Counters and timings of a host.
+ * Counters, gauges and timings of a host.
  *
- * They are kept in memory for the state dump, and sent by hot-shots where a collector is set.
+ * They are kept in memory for Prometheus and the state dump, and sent to a StatsD collector if one is
+ * configured.
  */
 export class Metrics {
   private readonly client: StatsD | undefined;
@@ -51,17 +52,17 @@
 
   private readonly gauges = new Map<GaugeName, Gauge>();
 
-  /** @param client - Sends to the collector; absent where none is set. */
+  /** @param client - Client of the StatsD collector; absent if none is configured. */
   constructor(client?: StatsD) {
     this.client = client;
   }
 
   /**
-   * Gets metrics that are sent to a collector.
+   * Creates metrics that are sent to a StatsD collector.
    *
-   * @param ip - Address of the collector.
-   * @param port - Its UDP port.
-   * @param host - Name of this host, a tag of every metric.
+   * @param ip - IP address of the collector.
+   * @param port - UDP port of the collector.
+   * @param host - Id of this host, sent as a tag of every metric.
    * @returns The metrics.
    */
   static sendingTo(ip: string, port: number, host: string): Metrics {
@@ -71,18 +72,18 @@
         port,
         prefix: 'camphorvane.',
         globalTags: { host },
-        // Metrics are lost rather than let a collector's trouble reach requests.
+        // Failures of the collector drop metrics and must not affect requests.
         errorHandler: () => undefined,
       }),
     );
   }
 
   /**
-   * Adds to a counter.
+   * Increments a counter.
    *
-   * @param name - The counter.
-   * @param tags - How it is split.
-   * @param amount - How much to add.
+   * @param name - Name of the counter.
+   * @param tags - Tags of the sample.
+   * @param amount - The increment.
    */
   count(name: CounterName, tags: MetricTags = {}, amount = 1): void {
     const key = [name, ...Object.values(tags)].join('.');
@@ -92,11 +93,11 @@
   }
 
   /**
-   * Takes in a timing.
+   * Records a timing.
    *
-   * @param name - The timing.
-   * @param ms - Milliseconds.
-   * @param tags - How it is split.
+   * @param name - Name of the timing.
+   * @param ms - Duration in milliseconds.
+   * @param tags - Tags of the sample.
    */
   timing(name: TimingName, ms: number, tags: MetricTags = {}): void {
     this.histogramOf(name, tags).observe({ ...tags }, ms);
@@ -106,33 +107,33 @@
   /**
    * Sets a gauge.
    *
-   * @param name - The gauge.
-   * @param value - What it shows from now on.
-   * @param tags - How it is split.
+   * @param name - Name of the gauge.
+   * @param value - The new value.
+   * @param tags - Tags of the sample.
    */
   gauge(name: GaugeName, value: number, tags: MetricTags = {}): void {
     this.gaugeOf(name, tags).set({ ...tags }, value);
     this.client?.gauge(name, value, { ...tags });
   }
 
-  /** Gets all counters since the start, by name and tags. */
+  /** Gets the values of all counters since the start of the process, by name and tag values. */
   getCounts(): Readonly<Record<string, number>> {
     return Object.fromEntries([...this.counts].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  /** Gets all counters and timings as Prometheus text. */
+  /** Gets all metrics in the Prometheus text format. */
   getText(): Promise<string> {
     return this.registry.metrics();
   }
 
-  /** Ends sending. */
+  /** Closes the client of the collector. */
   close(): void {
     this.client?.close(() => undefined);
   }
 
   private counterOf(name: CounterName, tags: MetricTags): Counter {
-    const known = this.counters.get(name);
-    if (known !== undefined) return known;
+    const existing = this.counters.get(name);
+    if (existing !== undefined) return existing;
     const counter = new Counter({
       name: `${promName(name)}_total`,
       help: `Counter ${name}.`,
@@ -144,8 +145,8 @@
   }
 
   private gaugeOf(name: GaugeName, tags: MetricTags): Gauge {
-    const known = this.gauges.get(name);
-    if (known !== undefined) return known;
+    const existing = this.gauges.get(name);
+    if (existing !== undefined) return existing;
     const gauge = new Gauge({
       name: promName(name),
       help: `Gauge ${name}.`,
@@ -157,8 +158,8 @@
   }
 
   private histogramOf(name: TimingName, tags: MetricTags): Histogram {
-    const known = this.histograms.get(name);
-    if (known !== undefined) return known;
+    const existing = this.histograms.get(name);
+    if (existing !== undefined) return existing;
     const histogram = new Histogram({
       name: `${promName(name)}_ms`,
       help: `Timing ${name} in milliseconds.`,
--- a/packages/router/src/observe/StateLog.ts
+++ b/packages/router/src/observe/StateLog.ts
@@ -2,30 +2,30 @@
 import type { LogFields } from './LogFields.ts';
 
 /**
- * Writes one line for a decision or a change of belief.
+ * Logs a decision or a state change.
  *
- * @param change - Name of the change, in snake case.
- * @param fields - Its details.
+ * @param event - Name of the event, in snake case.
+ * @param fields - Fields of the event.
  */
-export type StateLog = (change: string, fields: LogFields) => void;
+export type StateLog = (event: string, fields: LogFields) => void;
 
 let output: BoundedLog | undefined;
 
 /**
- * Sends all lines of this process to an output from now on; before that none is written.
+ * Sets the output of all logs of this process. Nothing is written before the first call.
  *
- * @param log - The output; undefined ends writing.
+ * @param log - The output; undefined disables logging.
  */
 export function setLogOutput(log: BoundedLog | undefined): void {
   output = log;
 }
 
 /**
- * Gets the log of one part of the program.
+ * Creates the log of a component.
  *
- * @param part - Name of the part.
+ * @param part - Name of the component.
  * @returns The log.
  */
 export function stateLog(part: string): StateLog {
-  return (change, fields) => output?.write(part, change, fields);
+  return (event, fields) => output?.write(part, event, fields);
 }
--- a/packages/router/src/observe/explainRequest.ts
+++ b/packages/router/src/observe/explainRequest.ts
@@ -1,8 +1,8 @@
 import type { LogLine } from './logLines.ts';
 import { parseLogLines } from './logLines.ts';
 
-/** Events that change what a host believes; they explain decisions made soon after. */
-const BELIEFS: ReadonlySet<string> = new Set([
+/** Events that change a host's state or its view of other hosts, and so explain later decisions. */
+const STATE_EVENTS: ReadonlySet<string> = new Set([
   'config_in_force',
   'store_lost',
   'store_regained',
@@ -11,42 +11,44 @@
   'left_out',
 ]);
 
-/** Milliseconds before a request from which changes of belief at its host are shown. */
-const BELIEF_WINDOW_MS = 2_000;
+/** Milliseconds before a request from which state events of its hosts are included. */
+const STATE_WINDOW_MS = 2_000;
 
 /**
- * Tells the story of a request from the logs of several hosts.
+ * Formats the timeline of a request from the logs of several hosts.
  *
- * @param id - The request's id, as its caller gave it.
- * @param lines - Lines of the logs, in any order; whatever stands before the JSON names the host.
- * @returns The story, a line for each event, with milliseconds since the first; empty for an unknown id.
+ * State events, which are marked with `*`, are included from shortly before the request.
+ *
+ * @param id - Id of the request, as its caller knows it.
+ * @param lines - Log lines in any order; the last word before the JSON is the name of the host.
+ * @returns A line for each event, with milliseconds since the request's first; empty for an unknown id.
  */
 export function explainRequest(id: string, lines: readonly string[]): readonly string[] {
-  const all = parseLogLines(lines);
-  const own = all.filter((line) => line.fields.id === id).sort(byTime);
-  const [first] = own;
-  const last = own.at(-1);
+  const logLines = parseLogLines(lines);
+  const requestLines = logLines.filter((line) => line.fields.id === id).sort(byTime);
+  const [first] = requestLines;
+  const last = requestLines.at(-1);
   if (first === undefined || last === undefined) return [];
-  const hosts = new Set(own.map((line) => line.host));
-  const beliefs = all.filter(
+  const hosts = new Set(requestLines.map((line) => line.host));
+  const stateLines = logLines.filter(
     (line) =>
       hosts.has(line.host) &&
-      BELIEFS.has(line.event) &&
-      line.t >= first.t - BELIEF_WINDOW_MS &&
+      STATE_EVENTS.has(line.event) &&
+      line.t >= first.t - STATE_WINDOW_MS &&
       line.t <= last.t,
   );
-  return [...beliefs, ...own].sort(byTime).map((line) => describe(line, first.t));
+  return [...stateLines, ...requestLines].sort(byTime).map((line) => formatLine(line, first.t));
 }
 
 function byTime(a: LogLine, b: LogLine): number {
   return a.t - b.t;
 }
 
-function describe(line: LogLine, startedAt: number): string {
-  const after = `${String(line.t - startedAt).padStart(7)} ms`;
+function formatLine(line: LogLine, startedAt: number): string {
+  const elapsed = `${String(line.t - startedAt).padStart(7)} ms`;
   const fields = Object.entries(line.fields)
     .filter(([name]) => name !== 'id')
     .map(([name, value]) => `${name}=${String(value)}`);
-  const mark = BELIEFS.has(line.event) ? '*' : ' ';
-  return [after, mark, line.host, `${line.part}.${line.event}`, ...fields].join(' ');
+  const marker = STATE_EVENTS.has(line.event) ? '*' : ' ';
+  return [elapsed, marker, line.host, `${line.part}.${line.event}`, ...fields].join(' ');
 }
--- a/packages/router/src/observe/logLines.ts
+++ b/packages/router/src/observe/logLines.ts
@@ -1,7 +1,8 @@
-/** One line of a log, with the host that wrote it where that is known. */
+/** A parsed log line, with the host that wrote it. */
 export interface LogLine {
-  /** Wall time of the host, in Unix milliseconds. */
+  /** Wall-clock time of the host, in Unix milliseconds. */
   readonly t: number;
+  /** Name of the host; empty if the line has no prefix. */
   readonly host: string;
   readonly part: string;
   readonly event: string;
@@ -9,10 +10,10 @@
 }
 
 /**
- * Reads lines of logs; whatever stands before the JSON names the host.
+ * Parses log lines; the last word before the JSON is the name of the host.
  *
- * @param lines - Lines in any order. Those that are no log lines are passed over.
- * @returns What they say.
+ * @param lines - Lines in any order; those that are not log lines are skipped.
+ * @returns The parsed lines.
  */
 export function parseLogLines(lines: readonly string[]): readonly LogLine[] {
   return lines.flatMap(parseLine);
@@ -28,7 +29,7 @@
   return [{ t, host, part: String(part ?? ''), event: String(event), fields: rest }];
 }
 
-/** A line that was cut off when its process ended tells nothing. */
+/** Parses JSON; returns undefined for lines that were truncated when their process ended. */
 function parseJson(text: string): Record<string, unknown> | undefined {
   try {
     return JSON.parse(text) as Record<string, unknown>;
--- a/packages/router/src/observe/lossTable.ts
+++ b/packages/router/src/observe/lossTable.ts
@@ -1,84 +1,88 @@
 import type { RequestStory } from './requestStories.ts';
 
-/** How losses are counted. */
+/** Options of a {@link lossTable}. */
 export interface LossOptions {
-  /** What a late answer is worth, as a part of one on time. */
+  /** Value of a late answer, as a fraction of one on time. */
   readonly lateWorth: number;
-  /** Length of the windows that are shown, in milliseconds. */
+  /** Length of a time window, in milliseconds. */
   readonly windowMs: number;
 }
 
-/** Rows of one table, the first one its head. */
+/** Rows of a table; the first one is the header. */
 type Rows = readonly (readonly string[])[];
 
-/** Windows that are shown: those that lost most. */
+/** Number of time windows shown, those with the largest losses. */
 const SHOWN_WINDOWS = 8;
 
 /**
- * Shows where requests were lost or late: by cause, by route and by the worst moments.
+ * Formats tables of late and lost requests: by cause, route, team and worst time window.
  *
  * @param stories - The requests.
- * @param opts - How losses are counted.
+ * @param opts - Value of a late answer and length of time windows.
  * @returns Lines of text.
  */
 export function lossTable(stories: readonly RequestStory[], opts: LossOptions): readonly string[] {
   const lost = stories.filter(({ end }) => end !== 'on_time');
-  const total = sumOf(lost, opts);
+  const lossSum = totalLoss(lost, opts);
   const startAt = stories[0]?.at ?? 0;
   const windowOf = ({ at }: RequestStory): string =>
     String(Math.floor((at - startAt) / opts.windowMs) * opts.windowMs);
   const windows = groupBy(stories, windowOf)
-    .sort(([, a], [, b]) => sumOf(b, opts) - sumOf(a, opts))
+    .sort(([, a], [, b]) => totalLoss(b, opts) - totalLoss(a, opts))
     .slice(0, SHOWN_WINDOWS)
     .sort(([a], [b]) => Number(a) - Number(b));
   const causes = groupBy(lost, ({ route, cause }) => `${route}\t${cause ?? ''}`).sort(
-    ([, a], [, b]) => sumOf(b, opts) - sumOf(a, opts),
+    ([, a], [, b]) => totalLoss(b, opts) - totalLoss(a, opts),
   );
   const byRoute = groupBy(stories, ({ route }) => route);
   const byTeam = groupBy(stories, ({ team }) => team);
   return [
-    `${stories.length} requests, ${stories.length - lost.length} on time, worth lost ${total.toFixed(1)}`,
+    `${stories.length} requests, ${stories.length - lost.length} on time, worth lost ${lossSum.toFixed(1)}`,
     '',
-    ...format([
+    ...formatTable([
       ['route', 'cause', 'late', 'refused', 'unfinished', 'lost'],
-      ...causes.map(([key, group]) => [...key.split('\t'), ...counts(group), lostOf(group, opts)]),
+      ...causes.map(([key, group]) => [
+        ...key.split('\t'),
+        ...outcomeCounts(group),
+        formatLoss(group, opts),
+      ]),
     ]),
     '',
-    ...format(endRows('route', byRoute, opts)),
+    ...formatTable(outcomeRows('route', byRoute, opts)),
     '',
-    ...format(endRows('team', byTeam, opts)),
+    ...formatTable(outcomeRows('team', byTeam, opts)),
     '',
-    ...format(endRows('worst moments from ms', windows, opts)),
+    ...formatTable(outcomeRows('worst moments from ms', windows, opts)),
   ];
 }
 
-function endRows(
+function outcomeRows(
   name: string,
   groups: readonly (readonly [string, readonly RequestStory[]])[],
   opts: LossOptions,
 ): Rows {
   const rows = groups.map(([key, group]) => {
     const onTime = String(group.filter(({ end }) => end === 'on_time').length);
-    return [key, String(group.length), onTime, ...counts(group), lostOf(group, opts)];
+    return [key, String(group.length), onTime, ...outcomeCounts(group), formatLoss(group, opts)];
   });
   return [[name, 'asked', 'on time', 'late', 'refused', 'unfinished', 'lost'], ...rows];
 }
 
-function counts(group: readonly RequestStory[]): readonly string[] {
-  return (['late', 'refused', 'unfinished'] as const).map((wanted) =>
-    String(group.filter(({ end }) => end === wanted).length),
+function outcomeCounts(group: readonly RequestStory[]): readonly string[] {
+  return (['late', 'refused', 'unfinished'] as const).map((outcome) =>
+    String(group.filter(({ end }) => end === outcome).length),
   );
 }
 
-function lostOf(group: readonly RequestStory[], opts: LossOptions): string {
-  return sumOf(group, opts).toFixed(1);
+function formatLoss(group: readonly RequestStory[], opts: LossOptions): string {
+  return totalLoss(group, opts).toFixed(1);
 }
 
-function sumOf(group: readonly RequestStory[], { lateWorth }: LossOptions): number {
-  return group.reduce((sum, { end }) => sum + lossOf(end, lateWorth), 0);
+function totalLoss(group: readonly RequestStory[], { lateWorth }: LossOptions): number {
+  return group.reduce((sum, { end }) => sum + lossOfOutcome(end, lateWorth), 0);
 }
 
-function lossOf(end: RequestStory['end'], lateWorth: number): number {
+function lossOfOutcome(end: RequestStory['end'], lateWorth: number): number {
   switch (end) {
     case 'on_time':
       return 0;
@@ -106,8 +110,8 @@
   return [...groups];
 }
 
-/** Sets columns to the width of their widest cell; names to the left, numbers to the right. */
-function format(rows: Rows): readonly string[] {
+/** Pads columns to their widest cell; aligns text left and numbers right. */
+function formatTable(rows: Rows): readonly string[] {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
   );
--- a/packages/router/src/observe/requestStories.ts
+++ b/packages/router/src/observe/requestStories.ts
@@ -3,43 +3,45 @@
 /** How a request ended for its caller. */
 export type RequestEnd = 'on_time' | 'late' | 'refused' | 'unfinished';
 
-/** What the logs say of one request as a whole. */
+/** Summary of a request from its log lines. */
 export interface RequestStory {
   readonly id: string;
   readonly host: string;
   readonly route: string;
   readonly team: string;
-  /** Wall time of its arrival, in Unix milliseconds. */
+  /** Wall-clock time of its arrival, in Unix milliseconds. */
   readonly at: number;
   readonly end: RequestEnd;
-  /** What cost most of its time, or why it was refused; absent for one on time. */
+  /** What took most of the time, or why the request was refused; undefined if it was on time. */
   readonly cause: string | undefined;
 }
 
-interface TimeLoss {
+interface DelayCause {
   readonly cause: string;
   readonly ms: number;
 }
 
 /**
- * Tells of each accepted request how it ended, and why it was not on time.
+ * Determines how each accepted request ended, and why it was not on time.
  *
- * @param lines - Lines of all hosts, in any order.
- * @returns The requests in order of arrival; those still under way when the logs end are unfinished.
+ * @param lines - Log lines of all hosts, in any order.
+ * @returns The requests in order of arrival; those in flight when the logs end are unfinished.
  */
 export function requestStories(lines: readonly LogLine[]): readonly RequestStory[] {
   const byId = new Map<string, LogLine[]>();
   lines.forEach((line) => {
     const { id } = line.fields;
     if (typeof id !== 'string') return;
-    const own = byId.get(id);
-    if (own === undefined) byId.set(id, [line]);
-    else own.push(line);
+    const requestLines = byId.get(id);
+    if (requestLines === undefined) byId.set(id, [line]);
+    else requestLines.push(line);
   });
-  return [...byId].flatMap(([id, own]) => storyOf(id, own)).sort((a, b) => a.at - b.at);
+  return [...byId]
+    .flatMap(([id, requestLines]) => storiesFrom(id, requestLines))
+    .sort((a, b) => a.at - b.at);
 }
 
-function storyOf(id: string, lines: readonly LogLine[]): readonly RequestStory[] {
+function storiesFrom(id: string, lines: readonly LogLine[]): readonly RequestStory[] {
   const accepted = lines.find((line) => line.event === 'accepted');
   if (accepted === undefined) return [];
   const { end, cause } = outcomeOf(accepted, lines);
@@ -58,7 +60,7 @@
   if (whole === undefined) return { end: 'unfinished', cause: 'no end in the logs' };
   const { targetMs, longestPauseMs } = accepted.fields;
   if (numberOf(whole.fields.firstMs) > numberOf(targetMs, Infinity)) {
-    return { end: 'late', cause: slowestPart(whole, lines) };
+    return { end: 'late', cause: slowestCause(whole, lines) };
   }
   if (numberOf(whole.fields.pauseMs) > numberOf(longestPauseMs, Infinity)) {
     return { end: 'late', cause: 'pause between events' };
@@ -72,27 +74,27 @@
   return failures === 0 ? code : `${code} after failed tries`;
 }
 
-/** Gets what took longest until the first event. */
-function slowestPart(whole: LogLine, lines: readonly LogLine[]): string {
+/** Gets the cause that took the longest until the first event of the answer. */
+function slowestCause(whole: LogLine, lines: readonly LogLine[]): string {
   const failures = lines.filter(isFailure);
   const placed = lines.filter((line) => line.event === 'placed');
   const prefilled = lines.filter((line) => line.event === 'prefilled');
-  const waits = placed.map(({ part, fields }): TimeLoss => ({
+  const waits = placed.map(({ part, fields }): DelayCause => ({
     cause:
       part === 'service' ? 'waited for a server' : `waited for ${String(fields.lacked ?? 'room')}`,
     ms: numberOf(fields.waitedMs),
   }));
-  const reads = prefilled.map(({ fields }): TimeLoss => ({
+  const prefills = prefilled.map(({ fields }): DelayCause => ({
     cause: 'prompt read slowly',
     ms: numberOf(fields.tookMs),
   }));
-  const known = [...waits, ...reads];
+  const known = [...waits, ...prefills];
   const knownMs = known.reduce((sum, { ms }) => sum + ms, 0);
-  const rest: TimeLoss = {
+  const remainder: DelayCause = {
     cause: failures.length > 0 ? 'failed tries' : 'upstream answered slowly',
     ms: numberOf(whole.fields.firstMs) - knownMs,
   };
-  return [...known, rest].reduce((most, loss) => (loss.ms > most.ms ? loss : most)).cause;
+  return [...known, remainder].reduce((max, delay) => (delay.ms > max.ms ? delay : max)).cause;
 }
 
 function isFailure({ event }: LogLine): boolean {
--- a/packages/router/src/observe/stdoutSink.ts
+++ b/packages/router/src/observe/stdoutSink.ts
@@ -3,43 +3,43 @@
 import type { LineSink } from './BoundedLog.ts';
 
 /** File descriptor of standard output. */
-const STDOUT = 1;
+const STDOUT_FD = 1;
 
-/** Bytes gathered before a write; a request's lines go out together. */
-const WRITE_BYTES = 4_096;
+/** Bytes buffered before a write, so that the lines of a request are written together. */
+const MIN_WRITE_BYTES = 4_096;
 
-/** Most bytes kept for a reader that does not read; lines beyond it are dropped. */
-const MAX_KEPT_BYTES = 1_048_576;
+/** Limit on bytes buffered for a reader that does not read; further lines are dropped. */
+const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Milliseconds after which gathered lines are written, however few. */
-const FLUSH_MS = 250;
+/** Milliseconds after which buffered lines are written, whatever their size. */
+const FLUSH_INTERVAL_MS = 250;
 
-/** Milliseconds that the end of the process waits for its last lines to be taken. */
-const LAST_FLUSH_MS = 200;
+/** Longest wait for the last lines to be written before the process exits, in milliseconds. */
+const EXIT_FLUSH_TIMEOUT_MS = 200;
 
-/** A sink whose last lines can be waited for. */
+/** A sink that can be flushed before the process exits. */
 export interface FlushableSink extends LineSink {
-  /** Writes what is gathered; resolves after a short time also where nobody reads. */
+  /** Writes buffered lines; resolves after a short time even if nothing reads them. */
   flush(): Promise<void>;
 }
 
 /**
- * Writes JSON lines to standard output, without ever waiting for its reader.
+ * Creates a sink that writes JSON lines to standard output and never blocks on its reader.
  *
- * The stream is not the one that pino would make: that one writes its rest synchronously when the
- * process ends, and a reader that does not read would keep a host from ever ending.
+ * The default stream of pino is not used: it flushes synchronously when the process exits, so that a
+ * reader that does not read would keep a host from ever exiting.
  *
  * @returns The sink.
  */
 export function stdoutSink(): FlushableSink {
   const stream = new SonicBoom({
-    fd: STDOUT,
+    fd: STDOUT_FD,
     sync: false,
-    minLength: WRITE_BYTES,
-    maxLength: MAX_KEPT_BYTES,
-    periodicFlush: FLUSH_MS,
+    minLength: MIN_WRITE_BYTES,
+    maxLength: MAX_BUFFERED_BYTES,
+    periodicFlush: FLUSH_INTERVAL_MS,
   });
-  // A reader that has gone must not end the process; its lines are lost with it.
+  // A closed reader must not crash the process; its lines are lost.
   stream.on('error', () => undefined);
   const logger = pino(
     { base: null, timestamp: false, formatters: { level: (level) => ({ level }) } },
@@ -49,7 +49,7 @@
     write: (fields) => logger.info(fields),
     flush: () =>
       new Promise((resolve) => {
-        setTimeout(resolve, LAST_FLUSH_MS);
+        setTimeout(resolve, EXIT_FLUSH_TIMEOUT_MS);
         stream.flush(() => resolve());
       }),
   };
--- a/packages/router/tests/observe/BoundedLog.test.ts
+++ b/packages/router/tests/observe/BoundedLog.test.ts
@@ -3,9 +3,9 @@
 import { VirtualClock } from '@camphorvane/core';
 import { BoundedLog } from '../../src/observe/BoundedLog.ts';
 
-// One kind of failure comes ten thousand times in a second. Writing a line for each would take the
-// processor from requests; the lines of other kinds must not be lost with them.
-test('each kind of line has its own bound, and what was left out is counted', async () => {
+// One kind of failure occurs 10,000 times in a second. Writing a line for each would take CPU time
+// from requests; limiting them must not drop lines of other kinds.
+test('each kind of line has its own limit, and dropped lines are counted', async () => {
   const clock = new VirtualClock();
   const lines: Record<string, unknown>[] = [];
   const log = new BoundedLog(clock, { write: (fields) => lines.push({ ...fields }) });
--- a/packages/router/tests/observe/explainRequest.test.ts
+++ b/packages/router/tests/observe/explainRequest.test.ts
@@ -13,13 +13,13 @@
   'a line of something else',
 ];
 
-test('the story of a request has its own lines and what its host believed', () => {
-  const story = explainRequest('r1', [...LINES].reverse());
-  assert.equal(story.length, 4);
-  assert.match(story[0] ?? '', /-500 ms \* h1 deployment\.store_lost/);
-  assert.match(story[3] ?? '', /210 ms {3}h1 request\.refused code=upstream_failed/);
+test('the timeline of a request has its own events and the state events of its host', () => {
+  const timeline = explainRequest('r1', [...LINES].reverse());
+  assert.equal(timeline.length, 4);
+  assert.match(timeline[0] ?? '', /-500 ms \* h1 deployment\.store_lost/);
+  assert.match(timeline[3] ?? '', /210 ms {3}h1 request\.refused code=upstream_failed/);
 });
 
-test('a request that no log names has no story', () => {
+test('the timeline of an unknown request is empty', () => {
   assert.deepEqual(explainRequest('r9', LINES), []);
 });
--- a/packages/router/tests/observe/lossTable.test.ts
+++ b/packages/router/tests/observe/lossTable.test.ts
@@ -5,10 +5,10 @@
 import type { RequestStory } from '../../src/observe/requestStories.ts';
 import { requestStories } from '../../src/observe/requestStories.ts';
 
-const AIMS = '"kind":"stream","targetMs":900,"longestPauseMs":300,"team":"t"';
+const TARGET_FIELDS = '"kind":"stream","targetMs":900,"longestPauseMs":300,"team":"t"';
 
 const accepted = (id: string, t: number): string =>
-  `h1 {"t":${t},"part":"request","event":"accepted","id":"${id}","route":"r",${AIMS}}`;
+  `h1 {"t":${t},"part":"request","event":"accepted","id":"${id}","route":"r",${TARGET_FIELDS}}`;
 
 const line = (id: string, t: number, event: string, fields: string): string =>
   `h1 {"t":${t},"part":"x","event":"${event}","id":"${id}",${fields}}`;
@@ -24,7 +24,7 @@
   assert.equal(story?.end, 'on_time');
 });
 
-test('a late stream is laid to what took longest', () => {
+test('a late stream is attributed to what took longest', () => {
   const late = '"firstMs":1500,"pauseMs":50,"tookMs":4000';
   const placed = '"waitedMs":1100,"lacked":"room"';
   const waited = storyOf(
@@ -43,17 +43,17 @@
   assert.equal(failed?.cause, 'failed tries');
 });
 
-test('a late call is laid to its wait for a server', () => {
+test('a late call is attributed to its wait for a server', () => {
   const placed = '{"t":390,"part":"service","event":"placed","id":"a","waitedMs":380}';
   const late = '"firstMs":470,"pauseMs":0,"tookMs":470';
-  const kind = accepted('a', 0).replace('"targetMs":900', '"targetMs":386');
+  const tightTarget = accepted('a', 0).replace('"targetMs":900', '"targetMs":386');
   assert.equal(
-    storyOf(kind, `h1 ${placed}`, line('a', 470, 'whole', late))?.cause,
+    storyOf(tightTarget, `h1 ${placed}`, line('a', 470, 'whole', late))?.cause,
     'waited for a server',
   );
 });
 
-test('a stream that stood still between events is late by its pause', () => {
+test('a stream with a pause longer than its bound is late', () => {
   const story = storyOf(
     accepted('a', 0),
     line('a', 3_000, 'whole', '"firstMs":400,"pauseMs":301,"tookMs":3000'),
@@ -61,15 +61,15 @@
   assert.deepEqual([story?.end, story?.cause], ['late', 'pause between events']);
 });
 
-// A host is killed while it answers. Its logs stop, and nothing else says how the request ended.
-test('a request without an end is unfinished', () => {
+// A host is killed while it answers. Its logs stop, and no other log tells how the request ended.
+test('a request without a final event is unfinished', () => {
   assert.equal(
     storyOf(accepted('a', 0), line('a', 5, 'placed', '"waitedMs":5'))?.end,
     'unfinished',
   );
 });
 
-test('the table counts a late answer for a part, and names the worst moments', () => {
+test('the table counts a late answer as a fractional loss and lists the worst time windows', () => {
   const stories = requestStories(
     parseLogLines([
       accepted('a', 0),
--- a/packages/router/tests/observe/stdoutSink.test.ts
+++ b/packages/router/tests/observe/stdoutSink.test.ts
@@ -10,9 +10,9 @@
 setTimeout(() => { process.stderr.write(String(Date.now() - startedAt)); process.exit(0); }, 100);
 `;
 
-// The reader of the logs stops reading, so the pipe is full. If writing waited for it, the host would
-// stop serving callers because of its logs.
-test('a reader that does not read holds nothing up', async () => {
+// The reader of the logs stops reading, so that the pipe fills up. If writes blocked on it, the host
+// would stop serving callers.
+test('a reader that does not read does not block the process', async () => {
   const args = ['--import', 'tsx', '--input-type=module', '-e', WRITER];
   const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'pipe'] });
   child.stdout.pause();
