--- a/packages/router/src/cli/declarationCommands.ts
+++ b/packages/router/src/cli/declarationCommands.ts
@@ -10,7 +10,7 @@
 
 const CHANGE_ID_BYTES = 12;
 
-const LARGEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
 interface FileArgs {
   readonly file: string;
@@ -31,22 +31,22 @@
 const FILE = {
   type: 'string',
   demandOption: true,
-  describe: 'Declarations, a TOML file',
+  describe: 'TOML file with declarations',
 } as const;
 
-/** `check`: checks declarations without the platform. */
+/** `check`: validates declarations without access to the platform. */
 export const checkModule: CommandModule<object, FileArgs> = {
   command: 'check <file>',
-  describe: 'Check declarations without the platform',
+  describe: 'Validate declarations without access to the platform',
   builder: (y) =>
     y
       .positional('file', FILE)
       .options(JSON_OPTION)
-      .example('$0 check teams.toml', 'List every fault with its line or key'),
+      .example('$0 check teams.toml', 'List all errors with their lines or keys'),
   handler: (args) => printResult(withFile(args.file, checkCommand), args.json),
 };
 
-/** `diff`: compares declarations with what is in force. */
+/** `diff`: compares declarations with the configuration in force. */
 export const diffModule: CommandModule<object, PlatformArgs> = {
   command: 'diff <file>',
   describe: 'Compare declarations with the configuration in force; exit code 1 if they differ',
@@ -54,38 +54,42 @@
     y
       .positional('file', FILE)
       .options({ ...PLATFORM_OPTION, ...JSON_OPTION })
-      .example('$0 diff teams.toml --platform http://127.0.0.1:9000', 'List what would change'),
+      .example(
+        '$0 diff teams.toml --platform http://127.0.0.1:9000',
+        'List the changes that apply would make',
+      ),
   handler: async (args) => {
-    const store = storeOf(args.platform);
+    const store = createStore(args.platform);
     const result = await withFileAsync(args.file, (text) => diffCommand(store, text));
     printResult(result, args.json);
   },
 };
 
-/** `apply`: has declarations accepted. */
+/** `apply`: makes declarations the configuration of all hosts. */
 export const applyModule: CommandModule<object, ApplyArgs> = {
   command: 'apply <file>',
-  describe: 'Have declarations accepted as the configuration of all hosts',
+  describe: 'Apply declarations as the configuration of all hosts',
   builder: (y) =>
     y
       .positional('file', FILE)
       .options({ ...PLATFORM_OPTION, ...JSON_OPTION })
       .option('base-version', {
         type: 'number',
-        describe: 'Version that the change starts from; 0 for the first configuration',
+        describe: 'Version on which the change is based; 0 for the first configuration',
       })
       .option('base-file', {
         type: 'string',
-        describe: 'The declarations before the change, a file',
+        describe: 'TOML file with the declarations before the change',
       })
       .option('merge', {
         type: 'boolean',
         default: false,
-        describe: 'Keep what others changed meanwhile, where both did not change the same',
+        describe: 'Merge with concurrent changes that do not conflict',
       })
       .option('change-id', {
         type: 'string',
-        describe: 'Name of an earlier apply whose outcome stayed open; never applied twice',
+        describe:
+          'Change id of an earlier apply with an unknown outcome, which is retried but never applied twice',
       })
       .conflicts('base-file', 'base-version')
       .example('$0 apply teams.toml --base-version 0', 'Apply the first configuration')
@@ -100,12 +104,12 @@
 };
 
 async function apply(args: ApplyArgs, declarations: NamedText): Promise<CommandResult> {
-  const base = args['base-file'] === undefined ? undefined : readNamed(args['base-file']);
+  const base = args['base-file'] === undefined ? undefined : readNamedText(args['base-file']);
   if (base === 'unreadable') return unreadable(args['base-file'] ?? '');
   const context = {
-    store: storeOf(args.platform),
+    store: createStore(args.platform),
     clock: new SystemClock(),
-    random: new RandomSource(randomInt(LARGEST_SEED)),
+    random: new RandomSource(randomInt(SEED_LIMIT)),
   };
   return applyCommand(context, {
     declarations,
@@ -117,24 +121,24 @@
   });
 }
 
-function storeOf(baseUrl: string): HttpObjectStore {
+function createStore(baseUrl: string): HttpObjectStore {
   return new HttpObjectStore({ baseUrl, clock: new SystemClock() });
 }
 
 function withFile(file: string, run: (text: NamedText) => CommandResult): CommandResult {
-  const named = readNamed(file);
-  return named === 'unreadable' ? unreadable(file) : run(named);
+  const namedText = readNamedText(file);
+  return namedText === 'unreadable' ? unreadable(file) : run(namedText);
 }
 
 async function withFileAsync(
   file: string,
   run: (text: NamedText) => Promise<CommandResult>,
 ): Promise<CommandResult> {
-  const named = readNamed(file);
-  return named === 'unreadable' ? unreadable(file) : run(named);
+  const namedText = readNamedText(file);
+  return namedText === 'unreadable' ? unreadable(file) : run(namedText);
 }
 
-function readNamed(file: string): NamedText | 'unreadable' {
+function readNamedText(file: string): NamedText | 'unreadable' {
   try {
     return { file, text: readFileSync(file, 'utf8') };
   } catch {
--- a/packages/router/src/cli/explainCommand.ts
+++ b/packages/router/src/cli/explainCommand.ts
@@ -4,17 +4,17 @@
 import { explainRequest } from '../observe/explainRequest.ts';
 
 /** File descriptor of standard input. */
-const STDIN = 0;
+const STDIN_FD = 0;
 
 interface ExplainArgs {
   readonly id: string;
   readonly files: readonly string[];
 }
 
-/** `explain`: prints what the logs say of one request. */
+/** `explain`: prints the timeline of a request from the logs of hosts. */
 export const explainCommand: CommandModule<object, ExplainArgs> = {
   command: 'explain <id> [files..]',
-  describe: 'Print what logs of hosts say of one request, in order, with the ages of its inputs',
+  describe: 'Print the timeline of a request from host logs, with the ages of its inputs',
   builder: (y) =>
     y
       .positional('id', { type: 'string', demandOption: true, describe: 'Id of the request' })
@@ -22,17 +22,17 @@
         type: 'string',
         array: true,
         default: [],
-        describe: 'Logs of hosts; standard input where none is named',
+        describe: 'Log files of hosts; standard input by default',
       }),
   handler: ({ id, files }) => {
-    const sources = files.length > 0 ? files : [STDIN];
+    const sources = files.length > 0 ? files : [STDIN_FD];
     const lines = sources.flatMap((source) => readFileSync(source, 'utf8').split('\n'));
-    const story = explainRequest(String(id), lines);
-    if (story.length === 0) {
-      process.stderr.write(`no line of these logs names request ${id}\n`);
+    const timeline = explainRequest(String(id), lines);
+    if (timeline.length === 0) {
+      process.stderr.write(`the logs have no line for request ${id}\n`);
       process.exitCode = EXIT.invalid;
       return;
     }
-    process.stdout.write(`${story.join('\n')}\n`);
+    process.stdout.write(`${timeline.join('\n')}\n`);
   },
 };
--- a/packages/router/src/cli/hangups.ts
+++ b/packages/router/src/cli/hangups.ts
@@ -2,21 +2,21 @@
 
 let listener: Listener | undefined;
 
-let hasCome = false;
+let hasReceivedSignal = false;
 
-// A process that has no listener yet is ended by the signal, and operators who change settings while
-// hosts start would see some of them start anew. So this module is to be the first that is loaded.
+// Without a listener SIGHUP ends the process, so that hosts would restart when operators change settings
+// during their start. This module must therefore be loaded first.
 process.on('SIGHUP', () => {
-  hasCome = true;
+  hasReceivedSignal = true;
   listener?.();
 });
 
 /**
- * Calls back with each SIGHUP from now on, and once for those that came while the process started.
+ * Sets the listener for SIGHUP, and calls it immediately if a signal was received before.
  *
- * @param run - What to do.
+ * @param run - The listener.
  */
 export function onHangup(run: Listener): void {
   listener = run;
-  if (hasCome) run();
+  if (hasReceivedSignal) run();
 }
--- a/packages/router/src/cli/hostsCommand.ts
+++ b/packages/router/src/cli/hostsCommand.ts
@@ -9,7 +9,7 @@
   readonly json: boolean;
 }
 
-interface Advice {
+interface HostListResponse {
   readonly hosts: readonly {
     readonly host: string;
     readonly zone: string;
@@ -18,10 +18,10 @@
   readonly keep_for_ms: number;
 }
 
-/** `hosts`: asks a host which hosts a caller should use. */
+/** `hosts`: prints the hosts that callers with a key should use. */
 export const hostsCommand: CommandModule<object, HostsArgs> = {
   command: 'hosts <address>',
-  describe: 'Ask a host which hosts the callers of a key should use',
+  describe: 'Print the hosts that callers with a key should use',
   builder: (y) =>
     y
       .positional('address', {
@@ -34,7 +34,7 @@
         demandOption: true,
         default: process.env.CAMPHORVANE_KEY,
         defaultDescription: 'the environment variable CAMPHORVANE_KEY',
-        describe: 'Key of a team',
+        describe: 'API key of a team',
       })
       .options(JSON_OPTION)
       .example('$0 hosts 127.0.0.1:8801', 'List the hosts for the key in CAMPHORVANE_KEY'),
@@ -52,14 +52,16 @@
       process.exitCode = EXIT.refused;
       return;
     }
-    process.stdout.write(args.json ? `${text}\n` : table(JSON.parse(text) as Advice));
+    process.stdout.write(
+      args.json ? `${text}\n` : formatTable(JSON.parse(text) as HostListResponse),
+    );
   } catch (thrown) {
     process.stderr.write(`${args.address}: ${thrown instanceof Error ? thrown.message : ''}\n`);
     process.exitCode = EXIT.unavailable;
   }
 }
 
-function table(advice: Advice): string {
-  const rows = advice.hosts.map((one) => `${one.address}\t${one.zone}\t${one.host}\n`);
+function formatTable(advice: HostListResponse): string {
+  const rows = advice.hosts.map((host) => `${host.address}\t${host.zone}\t${host.host}\n`);
   return `${rows.join('')}keep for ${advice.keep_for_ms} ms\n`;
 }
--- a/packages/router/src/cli/lossesCommand.ts
+++ b/packages/router/src/cli/lossesCommand.ts
@@ -6,7 +6,7 @@
 import { requestStories } from '../observe/requestStories.ts';
 
 /** File descriptor of standard input. */
-const STDIN = 0;
+const STDIN_FD = 0;
 
 interface LossesArgs {
   readonly files: readonly string[];
@@ -14,31 +14,35 @@
   readonly window: number;
 }
 
-/** `losses`: prints which requests were late or lost, when, and for what reason. */
+/** `losses`: prints which requests were late or lost, when, and why. */
 export const lossesCommand: CommandModule<object, LossesArgs> = {
   command: 'losses [files..]',
-  describe: 'Print from logs of hosts which requests were late or lost, when, and why',
+  describe: 'Print which requests were late or lost, when, and why, from host logs',
   builder: (y) =>
     y
       .positional('files', {
         type: 'string',
         array: true,
         default: [],
-        describe: 'Logs of hosts; standard input where none is named',
+        describe: 'Log files of hosts; standard input by default',
       })
       .option('late', {
         type: 'number',
         default: 0.2,
-        describe: 'What a late answer is worth, as a part of one on time',
+        describe: 'Value of a late answer, as a fraction of one on time',
       })
-      .option('window', { type: 'number', default: 2_000, describe: 'Length of a moment, in ms' })
-      .example('$0 losses hosts.log --late 0.5', 'count a late answer as half of one on time'),
+      .option('window', {
+        type: 'number',
+        default: 2_000,
+        describe: 'Length of a time window, in ms',
+      })
+      .example('$0 losses hosts.log --late 0.5', 'Count a late answer as half of one on time'),
   handler: ({ files, late, window }) => {
-    const sources = files.length > 0 ? files : [STDIN];
+    const sources = files.length > 0 ? files : [STDIN_FD];
     const lines = sources.flatMap((source) => readFileSync(source, 'utf8').split('\n'));
     const stories = requestStories(parseLogLines(lines));
     if (stories.length === 0) {
-      process.stderr.write('no line of these logs tells of an accepted request\n');
+      process.stderr.write('the logs have no line for an accepted request\n');
       process.exitCode = EXIT.invalid;
       return;
     }
--- a/packages/router/src/cli/operatorCommands.ts
+++ b/packages/router/src/cli/operatorCommands.ts
@@ -16,7 +16,7 @@
 
 type HostCommand = (target: Parameters<typeof dumpCommand>[0]) => Promise<CommandResult>;
 
-function hostModule(
+function createHostModule(
   name: string,
   describe: string,
   run: HostCommand,
@@ -29,37 +29,38 @@
         .positional('address', {
           type: 'string',
           demandOption: true,
-          describe: "ip:port of the host's operators' port",
+          describe: "ip:port of the host's operator interface",
         })
         .options({ ...CREDENTIAL_OPTION, ...JSON_OPTION })
-        .example(`$0 ${name} 127.0.0.1:8701`, 'Ask the host with CAMPHORVANE_CREDENTIAL'),
+        .example(`$0 ${name} 127.0.0.1:8701`, 'Use the credential in CAMPHORVANE_CREDENTIAL'),
     handler: async ({ address, credential, json }) => {
       printResult(await run({ address, credential, clock: new SystemClock() }), json);
     },
   };
 }
 
-/** `dump`: prints the state of all parts of a host. */
-export const dumpModule = hostModule('dump', 'Print the state of all parts of a host', dumpCommand);
+/** `dump`: prints the full state of a host. */
+export const dumpModule = createHostModule('dump', 'Print the full state of a host', dumpCommand);
 
-/** `status`: prints the state of a host in a line. */
-export const statusModule = hostModule('status', 'Print the state of a host', statusCommand);
-
-/** `drain`: tells a host to leave without cutting a request. */
-export const drainModule = hostModule(
-  'drain',
-  'Tell a host to end its work and leave',
-  drainCommand,
+/** `status`: prints a one-line summary of the state of a host. */
+export const statusModule = createHostModule(
+  'status',
+  'Print a summary of the state of a host',
+  statusCommand,
 );
 
+/** `drain`: drains and stops a host. */
+export const drainModule = createHostModule('drain', 'Drain and stop a host', drainCommand);
+
 interface KeyArgs {
   readonly json: boolean;
 }
 
-/** `key new`: makes a key for a team. */
+/** `key new`: generates an API key for a team. */
 export const keyModule: CommandModule<object, KeyArgs> = {
   command: 'key new',
-  describe: 'Make a key for a team; it is shown once, its digest goes into the declarations',
+  describe:
+    'Generate an API key for a team; it is shown once, its digest goes into the declarations',
   builder: (y) => y.options(JSON_OPTION).example('$0 key new', 'Print a key and its digest'),
   handler: ({ json }) => printResult(newKeyCommand(randomBytes(KEY_BYTES)), json),
 };
--- a/packages/router/src/cli/options.ts
+++ b/packages/router/src/cli/options.ts
@@ -1,9 +1,9 @@
-/** `--json`, which every command has whose answer a program would read. */
+/** `--json`, for commands with a machine-readable result. */
 export const JSON_OPTION = {
-  json: { type: 'boolean', default: false, describe: 'Print JSON for programs' },
+  json: { type: 'boolean', default: false, describe: 'Print JSON' },
 } as const;
 
-/** `--platform`, for commands that speak with the object API themselves. */
+/** `--platform`, for commands that use the object API. */
 export const PLATFORM_OPTION = {
   platform: {
     type: 'string',
@@ -14,13 +14,13 @@
   },
 } as const;
 
-/** `--credential`, for commands that ask a host's operators' port. */
+/** `--credential`, for commands that use the operator interface of a host. */
 export const CREDENTIAL_OPTION = {
   credential: {
     type: 'string',
     demandOption: true,
     default: process.env.CAMPHORVANE_CREDENTIAL,
     defaultDescription: 'the environment variable CAMPHORVANE_CREDENTIAL',
-    describe: "Credential of the host's operators' port",
+    describe: "Credential of the host's operator interface",
   },
 } as const;
--- a/packages/router/src/cli/printResult.ts
+++ b/packages/router/src/cli/printResult.ts
@@ -2,10 +2,10 @@
 import { EXIT } from '@camphorvane/operator';
 
 /**
- * Prints what a command has to say, and sets the exit code of the process.
+ * Prints the result of a command and sets the exit code of the process.
  *
- * @param result - What the command found.
- * @param json - True to print the form for programs.
+ * @param result - The result.
+ * @param json - Whether to print JSON instead of text.
  */
 export function printResult(result: CommandResult, json: boolean): void {
   const text = json ? JSON.stringify(result.json) : result.text;
--- a/packages/router/src/cli/serveCommand.ts
+++ b/packages/router/src/cli/serveCommand.ts
@@ -13,18 +13,19 @@
   readonly settings: string;
 }
 
-/** `serve`: runs a host until a signal ends it. */
+/** `serve`: runs a host until a signal or an operator ends it. */
 export const serveCommand: CommandModule<object, ServeArgs> = {
   command: 'serve',
-  describe: 'Run a host until SIGTERM (drains) or a second signal (stops at once)',
+  describe:
+    'Run a host until SIGTERM or SIGINT, which drains it; a second signal stops it immediately',
   builder: (y) =>
     y
       .option('settings', {
         type: 'string',
         demandOption: true,
-        describe: 'Settings of this host, a TOML file',
+        describe: 'TOML file with the settings of the host',
       })
-      .example('$0 serve --settings host.toml', 'Run the host that host.toml describes'),
+      .example('$0 serve --settings host.toml', 'Run the host with the settings in host.toml'),
   handler: (args) => serve(args.settings),
 };
 
@@ -47,22 +48,22 @@
   process.stdout.write(
     `${settings.value.host.id} serves callers on ${callers.ip}:${callers.port}\n`,
   );
-  await Promise.race([signalled(), running.drainAsked]);
+  await Promise.race([waitForSignal(), running.drainAsked]);
   log('draining', { host: settings.value.host.id });
-  const second = signalled().then(() => running.stop());
-  await Promise.race([running.drain(), second]);
+  const secondSignal = waitForSignal().then(() => running.stop());
+  await Promise.race([running.drain(), secondSignal]);
   process.exit(EXIT.ok);
 }
 
 /** Waits for SIGTERM or SIGINT. */
-function signalled(): Promise<void> {
+function waitForSignal(): Promise<void> {
   return new Promise((resolve) => {
-    const done = (): void => {
-      process.off('SIGTERM', done);
-      process.off('SIGINT', done);
+    const onSignal = (): void => {
+      process.off('SIGTERM', onSignal);
+      process.off('SIGINT', onSignal);
       resolve();
     };
-    process.on('SIGTERM', done);
-    process.on('SIGINT', done);
+    process.on('SIGTERM', onSignal);
+    process.on('SIGINT', onSignal);
   });
 }
--- a/packages/router/src/cli/servePlatformCommand.ts
+++ b/packages/router/src/cli/servePlatformCommand.ts
@@ -17,7 +17,7 @@
 /**
  * Runs a host on the users' platform until a signal ends it.
  *
- * @param file - Path of the platform's settings file; by default from its variable.
+ * @param file - Path of the platform's settings file; by default from its environment variable.
  */
 export async function servePlatform(
   file: string | undefined = process.env[SETTINGS_VARIABLE],
@@ -37,8 +37,8 @@
     return;
   }
   log('start', { host: settings.value.host, version: VERSION });
-  onHangup(() => reload(file, settings.value));
-  await terminated();
+  onHangup(() => logReload(file, settings.value));
+  await waitForTermination();
   log('stop_begins', { host: settings.value.host });
   await started.value.leave();
   log('stop', { host: settings.value.host });
@@ -55,18 +55,21 @@
   }
 }
 
-/** Addresses and bounds hold for one life of a process; the next one takes what has changed. */
-function reload(file: string | undefined, before: PlatformSettings): void {
-  const read = readSettings(file);
-  if (read.isErr()) {
-    log('reload', { outcome: 'unreadable', problem: read.error.join('; ') });
+/**
+ * Logs whether the settings have changed. Addresses and limits are fixed for the lifetime of a process;
+ * changes take effect at its next start.
+ */
+function logReload(file: string | undefined, previous: PlatformSettings): void {
+  const current = readSettings(file);
+  if (current.isErr()) {
+    log('reload', { outcome: 'unreadable', problem: current.error.join('; ') });
     return;
   }
-  const isSame = JSON.stringify(read.value) === JSON.stringify(before);
-  log('reload', { outcome: isSame ? 'unchanged' : 'taken_at_next_start' });
+  const isUnchanged = JSON.stringify(current.value) === JSON.stringify(previous);
+  log('reload', { outcome: isUnchanged ? 'unchanged' : 'taken_at_next_start' });
 }
 
-function terminated(): Promise<void> {
+function waitForTermination(): Promise<void> {
   return new Promise((resolve) => {
     process.once('SIGTERM', () => resolve());
     process.once('SIGINT', () => resolve());
--- a/packages/router/src/cli/zoneCommands.ts
+++ b/packages/router/src/cli/zoneCommands.ts
@@ -9,7 +9,7 @@
 
 const CHANGE_ID_BYTES = 12;
 
-const LARGEST_SEED = 2 ** 31;
+const SEED_LIMIT = 2 ** 31;
 
 interface ZoneArgs {
   readonly zone: string;
@@ -23,28 +23,28 @@
   describe: 'Name of the availability zone',
 } as const;
 
-/** `drain-zone`: takes the upstreams of a zone out of use. */
+/** `drain-zone`: drains the upstreams of an availability zone. */
 export const drainZoneModule: CommandModule<object, ZoneArgs> = {
   command: 'drain-zone <zone>',
-  describe: 'Send nothing more to the engines and servers of an availability zone',
+  describe: 'Stop sending requests to the engines and servers of an availability zone',
   builder: (y) => y.positional('zone', ZONE).options({ ...PLATFORM_OPTION, ...JSON_OPTION }),
-  handler: (args) => change(args, 'drain'),
+  handler: (args) => changeZone(args, 'drain'),
 };
 
-/** `restore-zone`: takes a drained zone back into use. */
+/** `restore-zone`: restores the upstreams of a drained availability zone. */
 export const restoreZoneModule: CommandModule<object, ZoneArgs> = {
   command: 'restore-zone <zone>',
-  describe: 'Use the engines and servers of a drained availability zone again',
+  describe: 'Resume sending requests to the engines and servers of a drained availability zone',
   builder: (y) => y.positional('zone', ZONE).options({ ...PLATFORM_OPTION, ...JSON_OPTION }),
-  handler: (args) => change(args, 'restore'),
+  handler: (args) => changeZone(args, 'restore'),
 };
 
-async function change(args: ZoneArgs, action: ZoneRequest['action']): Promise<void> {
+async function changeZone(args: ZoneArgs, action: ZoneRequest['action']): Promise<void> {
   const clock = new SystemClock();
   const context = {
     store: new HttpObjectStore({ baseUrl: args.platform, clock }),
     clock,
-    random: new RandomSource(randomInt(LARGEST_SEED)),
+    random: new RandomSource(randomInt(SEED_LIMIT)),
   };
   const freshId = randomBytes(CHANGE_ID_BYTES).toString('base64url');
   printResult(await zoneCommand(context, { zone: args.zone, action, freshId }), args.json);
--- a/packages/router/tests/cli/hangups.test.ts
+++ b/packages/router/tests/cli/hangups.test.ts
@@ -4,9 +4,9 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import { onHangup } from '../../src/cli/hangups.ts';
 
-// Operators change settings and tell hosts so by SIGHUP while one of them is still starting. A process
-// that doesn't listen for the signal yet is ended by it, and its callers wait for another start.
-test('a reload that is asked for while a host starts is done once it has started', async () => {
+// Operators change settings and send SIGHUP while a host is still starting. A process without a listener
+// for the signal is ended by it, and its callers have to wait for a restart.
+test('a SIGHUP received during the start is handled once the host has started', async () => {
   process.kill(process.pid, 'SIGHUP');
   await wait(50);
   let reloads = 0;
@@ -19,7 +19,7 @@
   assert.equal(reloads, 2);
 });
 
-test('the platform program listens for the signal before it loads anything else', () => {
+test('the entry point of the platform listens for SIGHUP before it loads other modules', () => {
   const text = readFileSync('packages/router/src/platformMain.ts', 'utf8');
   const [first] = text.split('\n').filter((line) => line.startsWith('import'));
   assert.equal(first, "import './cli/hangups.ts';");
