--- a/packages/router/src/main.ts
+++ b/packages/router/src/main.ts
@@ -29,7 +29,7 @@
   .command(lossesCommand)
   .command(keyModule)
   .version(VERSION)
-  .demandCommand(1, 'Name a command.')
+  .demandCommand(1, 'Specify a command.')
   .strict()
   .recommendCommands()
   .fail((message, err, y) => {
--- a/packages/router/src/platformMain.ts
+++ b/packages/router/src/platformMain.ts
@@ -1,5 +1,5 @@
 import './cli/hangups.ts';
 import { servePlatform } from './cli/servePlatformCommand.ts';
 
-// The command `serve-platform` alone: without the other commands a host is ready half a second sooner.
+// Runs `serve-platform` without loading the other commands, so that a host is ready 500 ms sooner.
 void servePlatform();
--- a/packages/router/src/settings/HostSettings.ts
+++ b/packages/router/src/settings/HostSettings.ts
@@ -12,10 +12,10 @@
 
 const httpUrl = z.url({ protocol: /^https?$/ });
 
-/** Shortest credential accepted; shorter ones can be guessed. */
-const MIN_CREDENTIAL = 16;
+/** Minimum length of credentials, in characters; shorter ones can be guessed. */
+const MIN_CREDENTIAL_LENGTH = 16;
 
-const credential = z.string().min(MIN_CREDENTIAL);
+const credential = z.string().min(MIN_CREDENTIAL_LENGTH);
 
 const schema = z.strictObject({
   host: z.strictObject({
@@ -26,13 +26,13 @@
   callers: listener,
   peers: listener.extend({
     credential,
-    /** Paths of PEM files; with all three the links are mutual TLS. */
+    /** Paths of PEM files; if set, peer links use mutual TLS. */
     tls: z.strictObject({ ca: z.string(), cert: z.string(), key: z.string() }).optional(),
   }),
   operators: listener.extend({ credential }),
   platform: z.strictObject({
     url: httpUrl,
-    /** Hosts of the whole fleet, which share the platform's rates of calls. */
+    /** Number of hosts in the fleet, which share the platform's limits on call rates. */
     fleetHosts: z.number().int().min(1).max(10_000).default(9),
   }),
   group: z.strictObject({ size: z.number().int().min(3).max(15).default(9) }).prefault({}),
@@ -42,42 +42,43 @@
   metrics: z.strictObject({ ip, port }).optional(),
 });
 
-/** Settings of one host, checked. */
+/** Validated settings of a host. */
 export type HostSettings = Readonly<z.infer<typeof schema>>;
 
-/** One thing wrong with a settings file. */
+/** An error in a settings file. */
 export interface SettingsError {
   readonly file: string;
-  /** Line where it is known, counted from 1. */
+  /** Line number counted from 1, if known. */
   readonly line?: number;
-  /** Dotted key where it is known. */
+  /** Dotted key, if known. */
   readonly key?: string;
   readonly message: string;
 }
 
 /**
- * Checks the text of a settings file.
+ * Parses and validates the text of a settings file.
  *
- * @param text - TOML.
- * @param file - The file's name, for errors.
- * @returns The settings, or everything that is wrong with them.
+ * @param text - Text of the file, in TOML.
+ * @param file - Name of the file, for error messages.
+ * @returns The settings, or all errors found.
  */
 export function parseHostSettings(
   text: string,
   file: string,
 ): Result<HostSettings, readonly SettingsError[]> {
-  let json: unknown;
+  let document: unknown;
   try {
-    json = parse(text);
+    document = parse(text);
   } catch (thrown) {
     const line = thrown instanceof TomlError ? thrown.line : undefined;
-    const message = thrown instanceof Error ? (thrown.message.split('\n')[0] ?? '') : 'not TOML';
+    const message =
+      thrown instanceof Error ? (thrown.message.split('\n')[0] ?? '') : 'not valid TOML';
     return err([{ file, line, message }]);
   }
-  const checked = schema.safeParse(json);
-  if (checked.success) return ok(checked.data);
+  const parsed = schema.safeParse(document);
+  if (parsed.success) return ok(parsed.data);
   return err(
-    checked.error.issues.map((issue) => ({
+    parsed.error.issues.map((issue) => ({
       file,
       key: issue.path.join('.'),
       message: issue.message,
@@ -86,10 +87,10 @@
 }
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
- * @param file - Its path.
- * @returns The settings, or everything that is wrong.
+ * @param file - Path of the file.
+ * @returns The settings, or all errors found.
  */
 export function readHostSettings(file: string): Result<HostSettings, readonly SettingsError[]> {
   try {
@@ -100,13 +101,13 @@
 }
 
 /**
- * Gets the line that tells a person of a settings error.
+ * Formats a settings error as one line.
  *
  * @param error - The error.
- * @returns `file:line: key: message`, without the parts that are not known.
+ * @returns `file:line: key: message`; unknown parts are omitted.
  */
 export function describeSettingsError(error: SettingsError): string {
-  const place = error.line === undefined ? error.file : `${error.file}:${error.line}`;
+  const location = error.line === undefined ? error.file : `${error.file}:${error.line}`;
   const key = error.key === undefined || error.key === '' ? '' : `${error.key}: `;
-  return `${place}: ${key}${error.message}`;
+  return `${location}: ${key}${error.message}`;
 }
--- a/packages/router/src/version.ts
+++ b/packages/router/src/version.ts
@@ -1,2 +1,2 @@
-/** Version of the program, shown by --version and in the state dump. */
+/** Version of the router, shown by `--version` and in the status of a host. */
 export const VERSION = '0.1.0';
