--- a/packages/router/src/cli/lossesCommand.ts
+++ b/packages/router/src/cli/lossesCommand.ts
@@ -40,13 +40,13 @@
   handler: ({ files, late, window }) => {
     const sources = files.length > 0 ? files : [STDIN_FD];
     const lines = sources.flatMap((source) => readFileSync(source, 'utf8').split('\n'));
-    const stories = requestStories(parseLogLines(lines));
-    if (stories.length === 0) {
+    const requests = requestStories(parseLogLines(lines));
+    if (requests.length === 0) {
       process.stderr.write('the logs have no line for an accepted request\n');
       process.exitCode = EXIT.invalid;
       return;
     }
-    const table = lossTable(stories, { lateWorth: late, windowMs: window });
+    const table = lossTable(requests, { lateWorth: late, windowMs: window });
     process.stdout.write(`${table.join('\n')}\n`);
   },
 };
--- a/packages/router/src/host/Authenticator.ts
+++ b/packages/router/src/host/Authenticator.ts
@@ -22,7 +22,7 @@
   private readonly keys: KeyRing;
 
   /**
-   * @param config - Tells whether the configuration is confirmed as current.
+   * @param config - Source of the configuration, which must be confirmed as current.
    * @param keys - The keys of the configuration in force.
    */
   constructor(config: ConfigSource, keys: KeyRing) {
--- a/packages/router/src/host/Host.ts
+++ b/packages/router/src/host/Host.ts
@@ -17,7 +17,7 @@
 
 /** One host of the router: owns its components and their lifecycle. */
 export class Host implements PeerHandler {
-  /** Serves requests on the router's own interface. */
+  /** Serves requests on the router's native interface. */
   readonly backend: CallerBackend;
 
   /** Serves requests that are forwarded to upstreams. */
@@ -27,7 +27,7 @@
 
   private readonly stopController = new AbortController();
 
-  private readonly parts: HostParts;
+  private readonly components: HostParts;
 
   private state: HostState = 'starting';
 
@@ -36,29 +36,29 @@
   /** @param options - Settings and dependencies of the host. */
   constructor(options: HostOptions) {
     this.options = options;
-    this.parts = assembleHost(options, {
+    this.components = assembleHost(options, {
       isDraining: () => this.state === 'draining' || this.state === 'stopped',
       isClosed: () => this.closed,
     });
-    this.backend = this.parts.backend;
-    this.forwarding = this.parts.forwarding;
+    this.backend = this.components.backend;
+    this.forwarding = this.components.forwarding;
   }
 
   /** Starts all background tasks and enters the state `serving`. */
   start(): void {
     const { signal } = this.stopController;
-    const { agreement } = this.parts;
+    const { agreement } = this.components;
     agreement.config.onChange((config) => this.applyConfig(config));
     agreement.group.onChange(() => this.applyGroupChange());
     agreement.start(signal);
-    void this.parts.keeper.run(signal);
-    void this.parts.watch.run(signal);
+    void this.components.keeper.run(signal);
+    void this.components.watch.run(signal);
     this.enterState('serving');
   }
 
   /** Answers a request from a peer. */
   answer(from: PeerSender, req: PeerRequest): Promise<PeerResponse> {
-    return this.parts.agreement.answer(from, req);
+    return this.components.agreement.answer(from, req);
   }
 
   /**
@@ -75,7 +75,7 @@
   /** Announces that this host is leaving; forwarded requests are still accepted. */
   async beginDrain(): Promise<void> {
     this.enterState('draining');
-    await this.parts.agreement.beginLeaving();
+    await this.components.agreement.beginLeaving();
   }
 
   /**
@@ -86,7 +86,7 @@
    */
   async finishDrain(graceMs: Millis): Promise<void> {
     this.closed = true;
-    const { agreement, inFlight } = this.parts;
+    const { agreement, inFlight } = this.components;
     const grace = sleep(this.options.clock, graceMs, this.stopController.signal);
     await Promise.race([inFlight.whenIdle(), grace]);
     if (agreement.claims !== undefined) await Promise.race([agreement.claims.drained(), grace]);
@@ -98,7 +98,7 @@
   stop(): void {
     this.enterState('stopped');
     this.stopController.abort();
-    this.parts.agreement.stop();
+    this.components.agreement.stop();
   }
 
   /** Gets the lifecycle state. */
@@ -113,12 +113,12 @@
 
   /** Gets the models whose pools this host currently coordinates. */
   getCoordinated(): readonly ModelId[] {
-    return this.parts.agreement.getCoordinated();
+    return this.components.agreement.getCoordinated();
   }
 
   /** Gets the version of the configuration in force; 0 before there is one. */
   configVersion(): number {
-    return this.parts.agreement.config.state().version;
+    return this.components.agreement.config.state().version;
   }
 
   /** Gets a summary of the state. */
@@ -130,9 +130,9 @@
       program: VERSION,
       state: this.state,
       configVersion: this.configVersion(),
-      configConfirmed: this.parts.agreement.config.isConfirmed(),
-      epoch: this.parts.agreement.getEpoch(),
-      inFlight: this.parts.inFlight.size(),
+      configConfirmed: this.components.agreement.config.isConfirmed(),
+      epoch: this.components.agreement.getEpoch(),
+      inFlight: this.components.inFlight.size(),
     };
   }
 
@@ -142,36 +142,36 @@
       identity: this.options.identity,
       incarnation: this.options.incarnation,
       state: this.state,
-      config: this.parts.agreement.config.state(),
-      inFlight: this.parts.inFlight.size(),
-      reservations: this.parts.keeper.size(),
-      ...this.parts.agreement.dump(),
-      crashes: this.parts.agreement.crashes.dump(),
-      serviceQueues: this.parts.gates.dump(),
+      config: this.components.agreement.config.state(),
+      inFlight: this.components.inFlight.size(),
+      reservations: this.components.keeper.size(),
+      ...this.components.agreement.dump(),
+      crashes: this.components.agreement.crashes.dump(),
+      serviceQueues: this.components.gates.dump(),
       counters: this.options.metrics.getCounts(),
     };
   }
 
   private applyConfig({ version, config }: VersionedConfig): void {
-    this.parts.directory.reshape(config);
-    this.parts.keys.update(config);
-    this.parts.agreement.rates.setTeams(config.teams);
-    this.parts.agreement.slowStart.reshape(slowStartBounds(config));
-    this.parts.agreement.placer.refresh();
-    this.parts.gates.refresh();
-    const ended = this.parts.agreement.endsWithdrawn ? this.endWithdrawn() : 0;
+    this.components.directory.reshape(config);
+    this.components.keys.update(config);
+    this.components.agreement.rates.setTeams(config.teams);
+    this.components.agreement.slowStart.reshape(slowStartBounds(config));
+    this.components.agreement.placer.refresh();
+    this.components.gates.refresh();
+    const ended = this.components.agreement.endsWithdrawn ? this.abortWithdrawn() : 0;
     this.options.metrics.count('config.changed');
     log('config_in_force', { version, ended });
   }
 
   private applyGroupChange(): void {
-    this.parts.agreement.placer.refresh();
-    this.parts.gates.refresh();
+    this.components.agreement.placer.refresh();
+    this.components.gates.refresh();
   }
 
-  private endWithdrawn(): number {
-    return this.parts.inFlight.endWithdrawn(
-      (digest, team) => this.parts.keys.isInForce(digest, team),
+  private abortWithdrawn(): number {
+    return this.components.inFlight.endWithdrawn(
+      (digest, team) => this.components.keys.isInForce(digest, team),
       notRun('key_withdrawn', 'The API key was withdrawn during the request.'),
     );
   }
--- a/packages/router/src/host/HostBackend.ts
+++ b/packages/router/src/host/HostBackend.ts
@@ -67,7 +67,7 @@
   readonly isDraining: () => boolean;
 }
 
-/** Authenticates requests on the router's own interface and dispatches them to their handlers. */
+/** Authenticates requests on the router's native interface and dispatches them to their handlers. */
 export class HostBackend implements CallerBackend {
   private readonly options: HostBackendOptions;
 
@@ -175,7 +175,7 @@
     }
     const { abort, leave } = this.options.inFlight.join(id, caller.value, signal);
     try {
-      const terms = this.callTerms(service);
+      const terms = this.callPolicy(service);
       const work = { id, req, terms, caller: caller.value, service, route, signal: abort.signal };
       return await this.options.services.serve(work);
     } finally {
@@ -205,7 +205,7 @@
     });
   }
 
-  private callTerms({ timeoutMs }: ServiceConfig): CallTerms {
+  private callPolicy({ timeoutMs }: ServiceConfig): CallTerms {
     return {
       maxTries: MAX_TRIES,
       claimed: true,
@@ -234,7 +234,7 @@
   }
 }
 
-/** Converts an event of a completion. Events of forwarded streams are an internal error here. */
+/** Converts an event of a completion. Events of forwarded requests are an internal error here. */
 function toCompletionEvent(event: ServingEvent): CompletionEvent {
   switch (event.type) {
     case 'token':
--- a/packages/router/src/host/PlatformHost.ts
+++ b/packages/router/src/host/PlatformHost.ts
@@ -51,7 +51,7 @@
   const clock = new SystemClock();
   const hints = new HintSocket();
   const metrics = new Metrics();
-  let agreement: StoreAgreement | undefined;
+  let coordination: StoreAgreement | undefined;
   const host = new Host({
     identity: {
       host: settings.host,
@@ -78,15 +78,15 @@
         metrics,
       },
       (created) => {
-        agreement = created;
+        coordination = created;
       },
     ),
     engines: (cfg) => new PlatformEngine(cfg, clock),
     servers: (cfg) => new PlatformServer(cfg, clock),
     metrics,
   });
-  if (agreement === undefined) return err('the host did not create its agreement');
-  const { config, group, isReady } = parts(agreement);
+  if (coordination === undefined) return err('the host did not create its coordination');
+  const { config, group, isReady } = selectParts(coordination);
   let leaving = false;
   const ingress = new Ingress({
     backend: host.forwarding,
@@ -123,9 +123,9 @@
   });
 }
 
-function parts(agreement: StoreAgreement): Pick<StoreAgreement, 'config' | 'group'> & {
+function selectParts(coordination: StoreAgreement): Pick<StoreAgreement, 'config' | 'group'> & {
   readonly isReady: () => boolean;
 } {
-  const { config, group } = agreement;
-  return { config, group, isReady: () => agreement.isReady() };
+  const { config, group } = coordination;
+  return { config, group, isReady: () => coordination.isReady() };
 }
--- a/packages/router/src/host/RunningHost.ts
+++ b/packages/router/src/host/RunningHost.ts
@@ -93,7 +93,7 @@
     backend: {
       dump: () => Promise.resolve({ host: host.dump(), links: link.dump(), peers: peers.dump() }),
       status: () => host.status(),
-      drain: drainRequest.ask,
+      drain: drainRequest.send,
     },
   });
   const opened = await listenForOperators(operators, settings);
@@ -161,12 +161,12 @@
 }
 
 /** Creates a promise that resolves when an operator requests a drain. */
-function createDrainRequest(): { readonly promise: Promise<void>; readonly ask: () => void } {
-  let ask = (): void => undefined;
+function createDrainRequest(): { readonly promise: Promise<void>; readonly send: () => void } {
+  let resolvePromise = (): void => undefined;
   const promise = new Promise<void>((resolve) => {
-    ask = resolve;
+    resolvePromise = resolve;
   });
-  return { promise, ask: () => ask() };
+  return { promise, send: () => resolvePromise() };
 }
 
 /**
--- a/packages/router/src/host/assembleHost.ts
+++ b/packages/router/src/host/assembleHost.ts
@@ -16,7 +16,7 @@
 
 /** Checks whether the host accepts new requests. */
 export interface HostGates {
-  /** True once a drain has begun; requests on the router's own interface are refused immediately. */
+  /** True once a drain has begun; requests on the router's native interface are refused immediately. */
   readonly isDraining: () => boolean;
   /** True once forwarded requests are refused as well. */
   readonly isClosed: () => boolean;
--- a/packages/router/src/observe/lossTable.ts
+++ b/packages/router/src/observe/lossTable.ts
@@ -17,27 +17,27 @@
 /**
  * Formats tables of late and lost requests: by cause, route, team and worst time window.
  *
- * @param stories - The requests.
+ * @param requests - The requests.
  * @param opts - Value of a late answer and length of time windows.
  * @returns Lines of text.
  */
-export function lossTable(stories: readonly RequestStory[], opts: LossOptions): readonly string[] {
-  const lost = stories.filter(({ end }) => end !== 'on_time');
+export function lossTable(requests: readonly RequestStory[], opts: LossOptions): readonly string[] {
+  const lost = requests.filter(({ end }) => end !== 'on_time');
   const lossSum = totalLoss(lost, opts);
-  const startAt = stories[0]?.at ?? 0;
+  const startAt = requests[0]?.at ?? 0;
   const windowOf = ({ at }: RequestStory): string =>
     String(Math.floor((at - startAt) / opts.windowMs) * opts.windowMs);
-  const windows = groupBy(stories, windowOf)
+  const windows = groupBy(requests, windowOf)
     .sort(([, a], [, b]) => totalLoss(b, opts) - totalLoss(a, opts))
     .slice(0, SHOWN_WINDOWS)
     .sort(([a], [b]) => Number(a) - Number(b));
   const causes = groupBy(lost, ({ route, cause }) => `${route}\t${cause ?? ''}`).sort(
     ([, a], [, b]) => totalLoss(b, opts) - totalLoss(a, opts),
   );
-  const byRoute = groupBy(stories, ({ route }) => route);
-  const byTeam = groupBy(stories, ({ team }) => team);
+  const byRoute = groupBy(requests, ({ route }) => route);
+  const byTeam = groupBy(requests, ({ team }) => team);
   return [
-    `${stories.length} requests, ${stories.length - lost.length} on time, worth lost ${lossSum.toFixed(1)}`,
+    `${requests.length} requests, ${requests.length - lost.length} on time, worth lost ${lossSum.toFixed(1)}`,
     '',
     ...formatTable([
       ['route', 'cause', 'late', 'refused', 'unfinished', 'lost'],
@@ -97,15 +97,15 @@
 }
 
 function groupBy(
-  stories: readonly RequestStory[],
-  keyOf: (story: RequestStory) => string,
+  requests: readonly RequestStory[],
+  keyOf: (request: RequestStory) => string,
 ): (readonly [string, readonly RequestStory[]])[] {
   const groups = new Map<string, RequestStory[]>();
-  stories.forEach((story) => {
-    const key = keyOf(story);
+  requests.forEach((request) => {
+    const key = keyOf(request);
     const group = groups.get(key);
-    if (group === undefined) groups.set(key, [story]);
-    else group.push(story);
+    if (group === undefined) groups.set(key, [request]);
+    else group.push(request);
   });
   return [...groups];
 }
--- a/packages/router/src/observe/requestStories.ts
+++ b/packages/router/src/observe/requestStories.ts
@@ -37,11 +37,11 @@
     else requestLines.push(line);
   });
   return [...byId]
-    .flatMap(([id, requestLines]) => storiesFrom(id, requestLines))
+    .flatMap(([id, requestLines]) => summarize(id, requestLines))
     .sort((a, b) => a.at - b.at);
 }
 
-function storiesFrom(id: string, lines: readonly LogLine[]): readonly RequestStory[] {
+function summarize(id: string, lines: readonly LogLine[]): readonly RequestStory[] {
   const accepted = lines.find((line) => line.event === 'accepted');
   if (accepted === undefined) return [];
   const { end, cause } = outcomeOf(accepted, lines);
--- a/packages/router/tests/observe/lossTable.test.ts
+++ b/packages/router/tests/observe/lossTable.test.ts
@@ -13,28 +13,28 @@
 const line = (id: string, t: number, event: string, fields: string): string =>
   `h1 {"t":${t},"part":"x","event":"${event}","id":"${id}",${fields}}`;
 
-const storyOf = (...lines: readonly string[]): RequestStory | undefined =>
+const summaryOf = (...lines: readonly string[]): RequestStory | undefined =>
   requestStories(parseLogLines(lines))[0];
 
 test('a stream whose first event and pauses are within their bounds is on time', () => {
-  const story = storyOf(
+  const summary = summaryOf(
     accepted('a', 0),
     line('a', 3_000, 'whole', '"firstMs":899,"pauseMs":300,"tookMs":3000'),
   );
-  assert.equal(story?.end, 'on_time');
+  assert.equal(summary?.end, 'on_time');
 });
 
 test('a late stream is attributed to what took longest', () => {
   const late = '"firstMs":1500,"pauseMs":50,"tookMs":4000';
   const placed = '"waitedMs":1100,"lacked":"room"';
-  const waited = storyOf(
+  const waited = summaryOf(
     accepted('a', 0),
     line('a', 1_100, 'placed', placed),
     line('a', 1_300, 'prefilled', '"tookMs":200'),
     line('a', 4_000, 'whole', late),
   );
   assert.equal(waited?.cause, 'waited for room');
-  const failed = storyOf(
+  const failed = summaryOf(
     accepted('b', 0),
     line('b', 50, 'placed', '"waitedMs":50'),
     line('b', 1_200, 'attempt_failed', '"error":"silent"'),
@@ -48,29 +48,29 @@
   const late = '"firstMs":470,"pauseMs":0,"tookMs":470';
   const tightTarget = accepted('a', 0).replace('"targetMs":900', '"targetMs":386');
   assert.equal(
-    storyOf(tightTarget, `h1 ${placed}`, line('a', 470, 'whole', late))?.cause,
+    summaryOf(tightTarget, `h1 ${placed}`, line('a', 470, 'whole', late))?.cause,
     'waited for a server',
   );
 });
 
 test('a stream with a pause longer than its bound is late', () => {
-  const story = storyOf(
+  const summary = summaryOf(
     accepted('a', 0),
     line('a', 3_000, 'whole', '"firstMs":400,"pauseMs":301,"tookMs":3000'),
   );
-  assert.deepEqual([story?.end, story?.cause], ['late', 'pause between events']);
+  assert.deepEqual([summary?.end, summary?.cause], ['late', 'pause between events']);
 });
 
 // A host is killed while it answers. Its logs stop, and no other log tells how the request ended.
 test('a request without a final event is unfinished', () => {
   assert.equal(
-    storyOf(accepted('a', 0), line('a', 5, 'placed', '"waitedMs":5'))?.end,
+    summaryOf(accepted('a', 0), line('a', 5, 'placed', '"waitedMs":5'))?.end,
     'unfinished',
   );
 });
 
 test('the table counts a late answer as a fractional loss and lists the worst time windows', () => {
-  const stories = requestStories(
+  const requests = requestStories(
     parseLogLines([
       accepted('a', 0),
       line('a', 900, 'whole', '"firstMs":100,"pauseMs":0,"tookMs":900'),
@@ -80,7 +80,7 @@
       line('c', 5_010, 'refused', '"code":"over_rate"'),
     ]),
   );
-  const table = lossTable(stories, { lateWorth: 0.2, windowMs: 2_000 });
+  const table = lossTable(requests, { lateWorth: 0.2, windowMs: 2_000 });
   assert.equal(table[0], '3 requests, 1 on time, worth lost 1.8');
   assert.match(table[3] ?? '', /r +over_rate +0 +1 +0 +1\.0/);
   assert.match(table.join('\n'), /\n +4000 +1 +0 +0 +1 +0 +1\.0/);
