--- a/packages/router/src/host/assembleHost.ts
+++ b/packages/router/src/host/assembleHost.ts
@@ -14,15 +14,15 @@
 import { InFlight } from './InFlight.ts';
 import { UpstreamDirectory } from './UpstreamDirectory.ts';
 
-/** What tells whether the host takes new work. */
+/** Checks whether the host accepts new requests. */
 export interface HostGates {
-  /** True while the host drains; callers of our own interface are sent away at once. */
+  /** True once a drain has begun; requests on the router's native interface are refused immediately. */
   readonly isDraining: () => boolean;
-  /** True once calls that are passed on are refused too. */
+  /** True once forwarded requests are refused as well. */
   readonly isClosed: () => boolean;
 }
 
-/** All parts of a host. */
+/** Components of a host. */
 export interface HostParts {
   readonly agreement: HostAgreement;
   readonly keys: KeyRing;
@@ -36,24 +36,24 @@
 }
 
 /**
- * Makes the parts of a host and joins them; nothing runs yet.
+ * Creates and wires the components of a host without starting any task.
  *
- * @param options - What the host is made of.
- * @param hostGates - Tells whether the host takes new work.
- * @returns The parts.
+ * @param options - Settings and dependencies of the host.
+ * @param admission - Checks whether the host accepts new requests.
+ * @returns The components.
  */
-export function assembleHost(options: HostOptions, hostGates: HostGates): HostParts {
+export function assembleHost(options: HostOptions, admission: HostGates): HostParts {
   const { clock, random, identity, incarnation, metrics } = options;
   const directory = new UpstreamDirectory(options.engines, options.servers);
   const calls = new ConcurrencyShares();
-  const agreement = options.agreement({ clock, random, identity, incarnation, directory, calls });
-  const { config, group, rates, repeats, crashes, claims, placer, slowStart } = agreement;
+  const coordination = options.agreement({ clock, random, identity, incarnation, directory, calls });
+  const { config, group, rates, repeats: retryGate, crashes: crashGuard, claims, placer, slowStart } = coordination;
   const keys = new KeyRing();
   const authenticator = new Authenticator(config, keys);
   const keeper = new ReservationRenewer(clock, placer);
   const watch = new EngineObserver(clock, placer);
   const hostCount = (): number => group.members().length;
-  const gates = new ServiceQueues(clock, random, directory, hostCount, calls, slowStart);
+  const serviceQueues = new ServiceQueues(clock, random, directory, hostCount, calls, slowStart);
   const inFlight = new InFlight();
   const completions = new CompletionHandler({
     self: identity.host,
@@ -64,32 +64,32 @@
     watch,
     metrics,
     rates,
-    retryGate: repeats,
-    crashGuard: crashes,
+    retryGate: retryGate,
+    crashGuard: crashGuard,
   });
   const services = new ServiceCallHandler({
     clock,
     directory,
-    queues: gates,
+    queues: serviceQueues,
     slowStart,
     rates,
     claims,
-    retryGate: repeats,
-    crashGuard: crashes,
+    retryGate: retryGate,
+    crashGuard: crashGuard,
     self: { host: identity.host, incarnation },
     metrics,
   });
-  const shared = { clock, random, authenticator, config, directory, inFlight, metrics };
-  const serving = { completions, services };
+  const commonOptions = { clock, random, authenticator, config, directory, inFlight, metrics };
+  const handlers = { completions, services };
   return {
-    agreement,
+    agreement: coordination,
     keys,
     directory,
     keeper,
     watch,
-    gates,
+    gates: serviceQueues,
     inFlight,
-    backend: new HostBackend({ ...shared, ...serving, ...hostGates, group, incarnation }),
-    forwarding: new ForwardHandler({ ...shared, ...serving, ...hostGates }),
+    backend: new HostBackend({ ...commonOptions, ...handlers, ...admission, group, incarnation }),
+    forwarding: new ForwardHandler({ ...commonOptions, ...handlers, ...admission }),
   };
 }
