--- a/packages/upstream/src/FreshCall.ts
+++ b/packages/upstream/src/FreshCall.ts
@@ -8,29 +8,29 @@
 import { ProgressDeadline } from './ProgressDeadline.ts';
 
 /**
- * Milliseconds that making a connection may take. Zones are a millisecond apart, so an upstream that
- * does not accept within this time is down, dark or full.
+ * Connect timeout in milliseconds. Latency between zones is about 1 ms, so an upstream that takes longer
+ * to accept is down, unreachable or has a full accept queue.
  */
 const CONNECT_TIMEOUT_MS: Millis = 400;
 
-/** Codes of a connection that broke off; undici reports an orderly close with one of its own. */
-const BROKEN_OFF: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE', 'ETIMEDOUT']);
+/** Socket errors of an aborted connection; undici reports an orderly close with a code of its own. */
+const RESET_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE', 'ETIMEDOUT']);
 
-/** Bounds of one call. */
+/** Timeouts of one call. */
 export interface FreshCallBounds {
-  /** Milliseconds until the head of the answer must be there. */
+  /** Milliseconds within which the response headers must arrive. */
   readonly headMs: Millis;
-  /** Milliseconds without a byte after which a body has gone silent. */
+  /** Milliseconds without a byte of the body after which the call times out. */
   readonly silenceMs: Millis;
 }
 
 /**
- * One call on a connection of its own.
+ * Runs one call on a dedicated connection.
  *
- * An upstream may send a second answer after a complete one, drop an idle connection unseen, or go
- * silent on it for good; on a kept connection each of these hits the next request. A connection costs
- * about two milliseconds, so a call that must not repeat, or that takes long, gets a new one, and
- * what arrives after its answer belongs to nobody.
+ * On a keep-alive connection the next request suffers when an upstream sends a second response after a
+ * complete one, drops the idle connection without a FIN, or stops responding on it. A new connection
+ * costs about 2 ms, so calls that must not be retried and long calls get one, and bytes after the
+ * response are discarded.
  */
 export class FreshCall {
   private readonly client: Client;
@@ -41,16 +41,16 @@
 
   private connected = false;
 
-  private ended = false;
+  private closed = false;
 
-  /** Whether the connection broke off instead of being closed. */
+  /** True if the connection was aborted rather than closed in order. */
   private wasReset = false;
 
   /**
    * @param origin - Base URL of the upstream.
-   * @param clock - Judges progress.
-   * @param bounds - How long the call may take.
-   * @param signal - Ends the call and its connection.
+   * @param clock - Times the call.
+   * @param bounds - Timeouts of the call.
+   * @param signal - Aborts the call and closes its connection.
    */
   constructor(origin: string, clock: Clock, bounds: FreshCallBounds, signal: AbortSignal) {
     this.bounds = bounds;
@@ -67,29 +67,29 @@
   }
 
   /**
-   * Makes one call and ends its connection, whatever comes of it.
+   * Makes one call and always closes its connection afterwards.
    *
    * @param origin - Base URL of the upstream.
-   * @param clock - Judges progress.
-   * @param bounds - How long the call may take.
-   * @param signal - Ends the call and its connection.
-   * @param use - Sends the call and reads its answer.
-   * @returns What `use` returns; what it throws as an error of the upstream.
+   * @param clock - Times the call.
+   * @param bounds - Timeouts of the call.
+   * @param signal - Aborts the call and closes its connection.
+   * @param exchange - Sends the call and reads its response.
+   * @returns The result of `exchange`; what it throws is returned as an upstream error.
    */
   static async run<T>(
     origin: string,
     clock: Clock,
     bounds: FreshCallBounds,
     signal: AbortSignal,
-    use: (exchange: FreshCall) => Promise<Result<T, UpstreamError>>,
+    exchange: (connection: FreshCall) => Promise<Result<T, UpstreamError>>,
   ): Promise<Result<T, UpstreamError>> {
-    const exchange = new FreshCall(origin, clock, bounds, signal);
+    const connection = new FreshCall(origin, clock, bounds, signal);
     try {
-      return await use(exchange);
+      return await exchange(connection);
     } catch (thrown) {
-      return err(exchange.errorOf(thrown));
+      return err(connection.errorOf(thrown));
     } finally {
-      exchange.close();
+      connection.close();
     }
   }
 
@@ -97,7 +97,7 @@
    * Sends the call.
    *
    * @param call - Method, path, headers, body.
-   * @returns The answer's head with its body still to be read; rejects as undici does.
+   * @returns Status and headers, with the body still to be read; rejects with the errors of undici.
    */
   async send(call: UpstreamCall): Promise<Dispatcher.ResponseData> {
     const res = await this.client.request({
@@ -112,11 +112,11 @@
   }
 
   /**
-   * Reads a body to its end, in pieces as they come; each one moves the deadline.
+   * Reads a body to its end, chunk by chunk; each chunk resets the timeout.
    *
-   * A body without a length ends with its connection, and undici takes a reset for that end too. An
-   * upstream that crashes in the middle of such a body would then look as if it had sent all of it,
-   * and its caller would get half an answer for a whole one. So a reset there is an error.
+   * A body without a length ends when its connection closes, and undici treats a reset as that end too.
+   * A reset is therefore an error here: otherwise a truncated body of an upstream that crashed would be
+   * delivered as complete.
    */
   async *read(res: Dispatcher.ResponseData): AsyncGenerator<Uint8Array> {
     for await (const chunk of res.body) {
@@ -124,15 +124,18 @@
       yield chunk as Uint8Array;
     }
     if (this.wasReset && endsWithConnection(res)) {
-      throw new Error('connection reset in a body without a length');
+      throw new Error('connection reset while reading a body without a length');
     }
   }
 
   /**
-   * Gets the error for what the call threw.
+   * Maps what the call threw to an upstream error.
    *
-   * Until the connection stands, not a byte was sent, so nothing can have run. After that the
-   * upstream may have run the request although no answer came.
+   * Nothing is sent before the connection is established, so the request can't have run. After that the
+   * upstream may have run it even without a response.
+   *
+   * @param thrown - What {@link send} or {@link read} threw.
+   * @returns The typed error.
    */
   errorOf(thrown: unknown): UpstreamError {
     const message = thrown instanceof Error ? thrown.message : String(thrown);
@@ -143,7 +146,7 @@
       case 'silent':
         return dispatched
           ? { type: 'silent', dispatched, message: 'no progress' }
-          : { type: 'unreachable', dispatched, message: 'no connection in time' };
+          : { type: 'unreachable', dispatched, message: 'connect timeout' };
       case undefined:
         return dispatched
           ? { type: 'broken', dispatched, message }
@@ -153,17 +156,17 @@
     }
   }
 
-  /** Connects as undici does, and sees how the connection ends. */
+  /** Connects as undici does, and records whether the connection is reset. */
   private connector(): buildConnector.connector {
     const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
     return (options, callback) =>
       connect(options, (...args) => {
         const [, socket] = args;
         socket?.once('error', (error: NodeJS.ErrnoException) => {
-          this.wasReset ||= BROKEN_OFF.has(error.code ?? '');
+          this.wasReset ||= RESET_CODES.has(error.code ?? '');
         });
-        // A reset that comes together with the last bytes is shown as an orderly end. The socket has no peer
-        // then, while one that the peer has closed in order still has.
+        // Node reports a reset that arrives with the last bytes as an orderly end; the socket then has no
+        // remote address, unlike one that the remote side has closed in order.
         socket?.once('end', () => {
           this.wasReset ||= socket.remoteAddress === undefined;
         });
@@ -171,20 +174,20 @@
       });
   }
 
-  /** Ends the connection. */
+  /** Closes the connection; idempotent. */
   close(): void {
-    if (this.ended) return;
-    this.ended = true;
+    if (this.closed) return;
+    this.closed = true;
     this.deadline.close();
     void this.client.destroy();
   }
 }
 
 /**
- * Tells whether only the end of its connection ends a body.
+ * Tells whether a body is delimited only by the close of its connection.
  *
- * @param res - Head of the answer.
- * @returns True where neither a length nor chunks say how long it is.
+ * @param res - The response headers.
+ * @returns True without Content-Length and Transfer-Encoding.
  */
 export function endsWithConnection(res: Pick<Dispatcher.ResponseData, 'headers'>): boolean {
   return (
--- a/packages/upstream/src/HttpModelEngine.ts
+++ b/packages/upstream/src/HttpModelEngine.ts
@@ -19,11 +19,11 @@
 import { toUpstreamError } from './upstreamErrors.ts';
 import { loadSnapshotSchema, prefillResultSchema } from './wire.ts';
 
-/** How long an engine may make no progress, by kind of call, in milliseconds. */
+/** Timeouts without progress, by kind of call, in milliseconds. */
 export interface EngineTimeouts {
-  /** For any prompt, its wait behind other prompts included. */
+  /** Per prefill, including the queue wait on the engine. */
   readonly prefillBaseMs: Millis;
-  /** On top, for each token of the prompt. */
+  /** Added for each token of the prompt. */
   readonly prefillPerTokenMs: Millis;
   readonly transferMs: Millis;
   /** Between two events of a decode stream. */
@@ -32,8 +32,8 @@
 }
 
 /**
- * Defaults: a prefill takes a fraction of a millisecond for each token, so the bound grows with the
- * prompt and a short prompt on a silent engine is not held for as long as a long one may take.
+ * Default timeouts. Prefill takes a fraction of a millisecond per token; a timeout that grows with the
+ * prompt lets a short prompt on an unresponsive engine fail early.
  */
 export const DEFAULT_ENGINE_TIMEOUTS: EngineTimeouts = {
   prefillBaseMs: 4_000,
@@ -60,8 +60,8 @@
   /**
    * @param id - The engine's name in the configuration.
    * @param url - Its base URL.
-   * @param clock - Judges progress.
-   * @param timeouts - How long it may make no progress.
+   * @param clock - Times calls.
+   * @param timeouts - Timeouts without progress.
    */
   constructor(
     id: UpstreamId,
@@ -75,9 +75,9 @@
     this.connections = new UpstreamConnections(url, clock);
   }
 
-  /** Runs a prompt; the answer must carry the attempt's id. */
+  /** Runs a prompt; the response must carry the attempt's id. */
   prefill(cmd: PrefillCommand, signal: AbortSignal): ResultAsync<PrefillResult, UpstreamError> {
-    if (typeof cmd.prompt !== 'string') return errAsync(takesText());
+    if (typeof cmd.prompt !== 'string') return errAsync(unsupportedPromptError());
     return this.post(
       '/v1/prefill',
       cmd,
@@ -85,7 +85,7 @@
       signal,
       prefillResultSchema,
     ).andThen((result) =>
-      result.attempt === cmd.attempt ? ok(result) : err(mismatch(cmd.attempt)),
+      result.attempt === cmd.attempt ? ok(result) : err(mismatchError(cmd.attempt)),
     );
   }
 
@@ -100,7 +100,7 @@
     signal: AbortSignal,
   ): AsyncGenerator<Result<DecodeEvent, UpstreamError>> {
     if (cmd.prompt !== undefined) {
-      yield err(takesText());
+      yield err(unsupportedPromptError());
       return;
     }
     const deadline = new ProgressDeadline(this.clock, this.timeouts.decodeProgressMs, signal);
@@ -110,39 +110,39 @@
         deadline.signal(),
       );
       if (res.statusCode !== 200) {
-        yield err(await refusalOf(res));
+        yield err(await statusError(res));
         return;
       }
       yield* readDecodeEvents(res.body, cmd, deadline);
     } catch (thrown) {
-      yield err(this.afterFailure(thrown, deadline));
+      yield err(this.handleFailure(thrown, deadline));
     } finally {
       deadline.close();
     }
   }
 
-  /** Frees whatever an attempt holds; idempotent. */
+  /** Frees what an attempt holds on the engine; idempotent. */
   cancel(attempt: AttemptId): ResultAsync<void, UpstreamError> {
     const never = new AbortController().signal;
     return this.post('/v1/cancel', { attempt }, this.timeouts.controlMs, never);
   }
 
-  /** Reads the lagging load report. */
+  /** Reads the load report, which lags behind the engine's state. */
   load(): ResultAsync<LoadSnapshot, UpstreamError> {
     const never = new AbortController().signal;
     const call = { method: 'GET' as const, path: LOAD_PATH, headers: {} };
-    return this.exchange(call, this.timeouts.controlMs, never).andThen((text) =>
-      parse(text, loadSnapshotSchema),
+    return this.request(call, this.timeouts.controlMs, never).andThen((text) =>
+      parseBody(text, loadSnapshotSchema),
     );
   }
 
-  /** Gives an order. */
+  /** Sends an order. */
   order(order: EngineOrder): ResultAsync<void, UpstreamError> {
     const never = new AbortController().signal;
     return this.post('/v1/orders', order, this.timeouts.controlMs, never);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections at once. */
   async close(): Promise<void> {
     await this.connections.destroy();
   }
@@ -175,12 +175,12 @@
       headers: JSON_HEADERS,
       body: JSON.stringify(body),
     };
-    return this.exchange(call, timeoutMs, signal).andThen((text) =>
-      schema === undefined ? okAsync(undefined) : parse(text, schema),
+    return this.request(call, timeoutMs, signal).andThen((text) =>
+      schema === undefined ? okAsync(undefined) : parseBody(text, schema),
     );
   }
 
-  private exchange(
+  private request(
     call: Parameters<UpstreamConnections['send']>[0],
     timeoutMs: Millis,
     signal: AbortSignal,
@@ -189,10 +189,10 @@
       const deadline = new ProgressDeadline(this.clock, timeoutMs, signal);
       try {
         const res = await this.connections.send(call, deadline.signal());
-        if (res.statusCode >= 400) return err(await refusalOf(res));
+        if (res.statusCode >= 400) return err(await statusError(res));
         return ok(await res.body.text());
       } catch (thrown) {
-        return err(this.afterFailure(thrown, deadline));
+        return err(this.handleFailure(thrown, deadline));
       } finally {
         deadline.close();
       }
@@ -200,7 +200,7 @@
     return new ResultAsync(run());
   }
 
-  private afterFailure(thrown: unknown, deadline: ProgressDeadline): UpstreamError {
+  private handleFailure(thrown: unknown, deadline: ProgressDeadline): UpstreamError {
     const failure = toUpstreamError(thrown, deadline.stopReason());
     if (failure.type === 'silent') {
       void this.connections.renewAndProbe(LOAD_PATH, this.timeouts.controlMs);
@@ -210,10 +210,10 @@
 }
 
 /**
- * Gets how long a prefill may take.
+ * Gets the timeout of a prefill.
  *
- * @param cmd - The prompt, with what is run after it.
- * @param timeouts - The bounds.
+ * @param cmd - The prompt and its continuation.
+ * @param timeouts - Timeouts of the engine.
  * @returns Milliseconds.
  */
 export function prefillTimeout(
@@ -224,17 +224,21 @@
   return timeouts.prefillBaseMs + tokens * timeouts.prefillPerTokenMs;
 }
 
-function takesText(): UpstreamError {
-  const message = 'an engine of this interface runs text only';
+function unsupportedPromptError(): UpstreamError {
+  const message = 'engines reached over this interface accept text prompts only';
   return { type: 'rejected', dispatched: false, message };
 }
 
-function mismatch(attempt: AttemptId): UpstreamError {
-  return { type: 'mismatch', dispatched: true, message: `answer is not for attempt ${attempt}` };
+function mismatchError(attempt: AttemptId): UpstreamError {
+  return {
+    type: 'mismatch',
+    dispatched: true,
+    message: `response does not carry the id of attempt ${attempt}`,
+  };
 }
 
-/** An engine that answers with an error status has not run the command. */
-async function refusalOf(res: {
+/** A status below 500 means that the engine rejected the command; after a 5xx it may have run. */
+async function statusError(res: {
   readonly statusCode: number;
   readonly body: { text(): Promise<string> };
 }): Promise<UpstreamError> {
@@ -245,8 +249,8 @@
     : { type: 'broken', dispatched: true, message };
 }
 
-function parse<T>(text: string, schema: z.ZodType<T>): ResultAsync<T, UpstreamError> {
-  const broken: UpstreamError = { type: 'broken', dispatched: true, message: 'malformed answer' };
+function parseBody<T>(text: string, schema: z.ZodType<T>): ResultAsync<T, UpstreamError> {
+  const broken: UpstreamError = { type: 'broken', dispatched: true, message: 'malformed response' };
   try {
     const parsed = schema.safeParse(JSON.parse(text));
     return parsed.success ? okAsync(parsed.data) : errAsync(broken);
--- a/packages/upstream/src/HttpPlainServer.ts
+++ b/packages/upstream/src/HttpPlainServer.ts
@@ -7,16 +7,16 @@
 import { UpstreamConnections } from './UpstreamConnections.ts';
 import { toUpstreamError } from './upstreamErrors.ts';
 
-/** Header that carries the attempt's id to a plain service and back. */
+/** Header with the attempt's id; a plain service may echo it in its response. */
 export const ATTEMPT_HEADER = 'x-camphorvane-attempt';
 
-/** Largest answer read from a plain service, in bytes; larger ones end as broken. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+/** Largest response body of a plain service, in bytes; a larger one fails as `broken`. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** Milliseconds to wait for a probe on a new connection. */
+/** Timeout of a probe on a new connection, in milliseconds. */
 const PROBE_TIMEOUT_MS = 1_000;
 
-/** Headers of an answer that belong to one connection and are not passed on. */
+/** Response headers that apply to one connection only and are not forwarded. */
 const HOP_BY_HOP = new Set([
   'connection',
   'keep-alive',
@@ -39,7 +39,7 @@
   /**
    * @param id - The server's name in the configuration.
    * @param url - Its base URL.
-   * @param clock - Judges progress.
+   * @param clock - Times calls.
    */
   constructor(id: UpstreamId, url: string, clock: Clock) {
     this.id = id;
@@ -47,7 +47,7 @@
     this.connections = new UpstreamConnections(url, clock);
   }
 
-  /** Runs one call and reads its whole answer. */
+  /** Runs one call and reads its whole response. */
   call(call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, UpstreamError> {
     const run = async (): Promise<Result<ServiceAnswer, UpstreamError>> => {
       const deadline = new ProgressDeadline(this.clock, call.timeoutMs, signal);
@@ -61,7 +61,7 @@
           },
           deadline.signal(),
         );
-        return await readAnswer(res, call);
+        return await readResponse(res, call);
       } catch (thrown) {
         const failure = toUpstreamError(thrown, deadline.stopReason());
         if (failure.type === 'silent') {
@@ -75,28 +75,32 @@
     return new ResultAsync(run());
   }
 
-  /** Ends all connections. */
+  /** Closes all connections at once. */
   async close(): Promise<void> {
     await this.connections.destroy();
   }
 }
 
-/** Reads the whole body, after checking that the answer belongs to this attempt if it says so. */
-async function readAnswer(
+/** Reads the whole body; an echoedAttempt attempt id must match. */
+async function readResponse(
   res: Dispatcher.ResponseData,
   call: ServiceCall,
 ): Promise<Result<ServiceAnswer, UpstreamError>> {
-  const echoed = res.headers[ATTEMPT_HEADER];
-  if (echoed !== undefined && echoed !== call.attempt) {
+  const echoedAttempt = res.headers[ATTEMPT_HEADER];
+  if (echoedAttempt !== undefined && echoedAttempt !== call.attempt) {
     res.body.destroy();
-    return err({ type: 'mismatch', dispatched: true, message: 'answer of another attempt' });
+    return err({
+      type: 'mismatch',
+      dispatched: true,
+      message: 'response belongs to another attempt',
+    });
   }
   const chunks: Uint8Array[] = [];
   let size = 0;
   for await (const chunk of res.body) {
     size += chunk.length;
-    if (size > MAX_ANSWER_BYTES) {
-      return err({ type: 'broken', dispatched: true, message: 'answer too large' });
+    if (size > MAX_RESPONSE_BYTES) {
+      return err({ type: 'broken', dispatched: true, message: 'response body too large' });
     }
     chunks.push(chunk);
   }
--- a/packages/upstream/src/ModelEngine.ts
+++ b/packages/upstream/src/ModelEngine.ts
@@ -13,16 +13,16 @@
 import type { ResultAsync, Result } from 'neverthrow';
 
 /**
- * Why an upstream did not do what it was asked.
+ * Why a call to an upstream failed.
  *
- * `dispatched` tells whether the upstream may have started: only where it is false may a refusal
- * say `not_run`.
+ * `dispatched` tells whether the upstream may have started the work; a refusal may say `not_run` only
+ * where it is false.
  */
 export type UpstreamError =
   | {
       readonly type: 'unreachable';
       readonly dispatched: boolean;
-      /** True where something at the upstream's address answered, though not the upstream. */
+      /** True where another process responded at the upstream's address. */
       readonly answered?: boolean;
       readonly message: string;
     }
@@ -32,18 +32,18 @@
   | { readonly type: 'mismatch'; readonly dispatched: true; readonly message: string }
   | { readonly type: 'cancelled'; readonly dispatched: boolean; readonly message: string };
 
-/** Asks a prefill engine to run a prompt. */
+/** Command to a prefill engine to run a prompt. */
 export interface PrefillCommand {
   readonly attempt: AttemptId;
   readonly model: ModelId;
   readonly prompt: Prompt;
-  /** Text that an earlier decode already delivered, to be run after the prompt on a resume. */
+  /** Text already delivered by an earlier decode; run after the prompt when a stream is resumed. */
   readonly continuation: string;
   /** Lower goes first. */
   readonly priority: number;
 }
 
-/** The KV cache that a prefill left on its engine; it is evicted within about a second. */
+/** The KV cache that a prefill produced; its engine evicts it within about 1 s. */
 export interface PrefillResult {
   readonly attempt: AttemptId;
   readonly kvHandle: string;
@@ -51,7 +51,7 @@
   readonly cachedTokens: Tokens;
 }
 
-/** Asks a decode engine to fetch a KV cache from a prefill engine. */
+/** Command to a decode engine to fetch a KV cache from a prefill engine. */
 export interface TransferCommand {
   readonly attempt: AttemptId;
   readonly kvHandle: string;
@@ -59,36 +59,36 @@
   readonly pieces: Pieces;
 }
 
-/** Asks a decode engine for output from an imported KV cache. */
+/** Command to a decode engine to generate output. */
 export interface DecodeCommand {
   readonly attempt: AttemptId;
-  /** The call to pass on; absent for text, whose KV cache says all. */
+  /** The call to forward; absent for text prompts, for which the KV cache is enough. */
   readonly prompt?: OpaquePrompt;
-  /** KV cache to go on from; undefined where the engine is to run the prompt itself. */
+  /** KV cache to decode from; undefined where the engine runs the prompt itself. */
   readonly kvHandle: string | undefined;
   readonly maxTokens: Tokens;
-  /** Position of the first token to deliver, counted from 0 at the start of the answer. */
+  /** Position of the first token to deliver, counted from 0 at the start of the output. */
   readonly fromPosition: number;
   readonly priority: number;
 }
 
-/** Status and headers of an upstream's answer, as it gave them. */
+/** Status and headers of an upstream's response, unchanged. */
 export interface AnswerHead {
   readonly status: number;
-  /** Lower-case names, without the headers that concern one connection. */
+  /** Lower-case names, without hop-by-hop headers. */
   readonly headers: Readonly<Record<string, string>>;
   /**
-   * True where only the end of the connection ends the body. Nobody can tell then whether the body is
-   * whole, so it is passed on in the same way, and never with a length that would vouch for it.
+   * True where only the close of the connection ends the body. Whether the body is complete is unknown
+   * then, so it is forwarded the same way, without a Content-Length that would claim it.
    */
   readonly endsWithConnection?: boolean;
 }
 
-/** One event of a decode stream; calls that are passed on have a head, text has none. */
+/** One event of a decode stream; only forwarded calls have a `head`. */
 export type DecodeEvent =
   | { readonly type: 'head'; readonly attempt: AttemptId; readonly head: AnswerHead }
   | {
-      /** The engine's own final answer instead of a stream, such as an error of its own. */
+      /** A complete response of the engine instead of a stream, such as an error. */
       readonly type: 'answer';
       readonly attempt: AttemptId;
       readonly head: AnswerHead;
@@ -101,7 +101,7 @@
       readonly text: string;
     }
   | {
-      /** One event of a call that is passed on, byte for byte. */
+      /** One event of a forwarded call, byte for byte. */
       readonly type: 'piece';
       readonly attempt: AttemptId;
       readonly position: number;
@@ -114,25 +114,25 @@
       readonly outputTokens: Tokens;
     };
 
-/** An order to an engine, fenced by a number that only grows. */
+/** An order to an engine, with a monotonically increasing fencing token. */
 export type EngineOrder =
   | {
       readonly type: 'role';
       readonly role: 'prefill' | 'decode';
       readonly fence: number;
-      /** Who gives the order. */
+      /** Id of the sender. */
       readonly holder?: string;
-      /** Orders that the engine must have taken before; an order that comes late fails on it. */
+      /** Number of orders that the engine must have accepted before; a delayed order fails this check. */
       readonly expected?: number;
     }
   | { readonly type: 'load_model'; readonly model: ModelId; readonly fence: number }
   | { readonly type: 'load_adapter'; readonly adapter: string; readonly fence: number };
 
-/** One model engine, over HTTP in a running host and in memory in a scenario. */
+/** One model engine; reached over HTTP by a running host, in memory by a scenario. */
 export interface ModelEngine {
   readonly id: UpstreamId;
 
-  /** Runs a prompt; aborting the signal cancels it. */
+  /** Runs a prompt until done or aborted. */
   prefill(cmd: PrefillCommand, signal: AbortSignal): ResultAsync<PrefillResult, UpstreamError>;
 
   /** Fetches a KV cache into this engine. */
@@ -144,13 +144,13 @@
     signal: AbortSignal,
   ): AsyncIterable<Result<DecodeEvent, UpstreamError>>;
 
-  /** Frees whatever an attempt holds on this engine; idempotent. */
+  /** Frees what an attempt holds on this engine; idempotent. */
   cancel(attempt: AttemptId): ResultAsync<void, UpstreamError>;
 
-  /** Reads the lagging load report. */
+  /** Reads the load report, which lags behind the engine's state. */
   load(): ResultAsync<LoadSnapshot, UpstreamError>;
 
-  /** Gives an order. */
+  /** Sends an order. */
   order(order: EngineOrder): ResultAsync<void, UpstreamError>;
 }
 
@@ -160,17 +160,17 @@
   readonly method: string;
   /** Path and query as the server sees them. */
   readonly path: string;
-  /** Lower-case names; the caller's key and hop-by-hop headers are already taken out. */
+  /** Lower-case names, without the caller's key and hop-by-hop headers. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
   readonly class: WorkClass;
-  /** Milliseconds until the caller gives up; the server is told to stop by then. */
+  /** Milliseconds until the caller times out; the server is told to stop by then. */
   readonly timeoutMs: number;
   /** Team of the caller's key; undefined on routes that need none. */
   readonly team?: TeamId;
 }
 
-/** A whole answer of a plain service. */
+/** A complete response of a plain service. */
 export interface ServiceAnswer extends AnswerHead {
   readonly body: Uint8Array;
 }
@@ -179,6 +179,6 @@
 export interface PlainServer {
   readonly id: UpstreamId;
 
-  /** Runs one call and reads its whole answer. */
+  /** Runs one call and reads its whole response. */
   call(call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, UpstreamError>;
 }
--- a/packages/upstream/src/ProgressDeadline.ts
+++ b/packages/upstream/src/ProgressDeadline.ts
@@ -1,79 +1,78 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
-/** Why a call was ended from this side. */
+/** Why a call was aborted locally: by its caller, or by the timeout (`silent`). */
 export type StopReason = 'caller' | 'silent';
 
 /**
- * Ends a call that makes no progress.
+ * Aborts a call that makes no progress within a timeout.
  *
- * A connection can go silent for good while its two ends believe it to be open, because something
- * between them has lost track of it. Nothing arrives then, not even an error, so the only sign is
- * time without progress. Each sign of progress moves the deadline; when it passes, the signal is
- * aborted and the call ends as `silent`.
+ * A middlebox that drops the state of a connection leaves both ends believing it open: nothing arrives,
+ * not even an error, and only a timeout detects it. Progress resets the timeout; when it expires, the
+ * signal is aborted and the call ends as `silent`.
  */
 export class ProgressDeadline {
   private readonly clock: Clock;
 
-  private span: Millis;
+  private timeoutMs: Millis;
 
-  private readonly abort = new AbortController();
+  private readonly controller = new AbortController();
 
-  private readonly outer: AbortSignal;
+  private readonly callerSignal: AbortSignal;
 
-  private readonly onOuterAbort: () => void;
+  private readonly onCallerAbort: () => void;
 
   private cancelTimer: CancelTimer = () => undefined;
 
   private reason: StopReason | undefined;
 
   /**
-   * @param clock - Measures the time without progress.
-   * @param span - Milliseconds without progress after which the call ends.
-   * @param outer - The caller's own signal; its abort ends the call too.
+   * @param clock - Times the call.
+   * @param timeoutMs - Milliseconds without progress after which the call is aborted.
+   * @param callerSignal - Aborts the call too.
    */
-  constructor(clock: Clock, span: Millis, outer: AbortSignal) {
+  constructor(clock: Clock, timeoutMs: Millis, callerSignal: AbortSignal) {
     this.clock = clock;
-    this.span = span;
-    this.outer = outer;
-    this.onOuterAbort = () => this.stop('caller');
-    outer.addEventListener('abort', this.onOuterAbort, { once: true });
-    if (outer.aborted) this.stop('caller');
+    this.timeoutMs = timeoutMs;
+    this.callerSignal = callerSignal;
+    this.onCallerAbort = () => this.abortFor('caller');
+    callerSignal.addEventListener('abort', this.onCallerAbort, { once: true });
+    if (callerSignal.aborted) this.abortFor('caller');
     this.progress();
   }
 
-  /** Gets the signal to give to the call. */
+  /** Gets the signal that aborts the call. */
   signal(): AbortSignal {
-    return this.abort.signal;
+    return this.controller.signal;
   }
 
-  /** Gets why the call was ended from this side, if it was. */
+  /** Gets why the call was aborted locally; undefined if it was not. */
   stopReason(): StopReason | undefined {
     return this.reason;
   }
 
-  /** Moves the deadline, because something arrived. */
+  /** Resets the timeout, because data arrived. */
   progress(): void {
     this.cancelTimer();
     if (this.reason !== undefined) return;
-    this.cancelTimer = this.clock.after(this.span, () => this.stop('silent'));
+    this.cancelTimer = this.clock.after(this.timeoutMs, () => this.abortFor('silent'));
   }
 
-  /** Changes the time allowed without progress, and counts this as progress. */
-  allow(span: Millis): void {
-    this.span = span;
+  /** Sets the timeout and resets it. */
+  allow(timeoutMs: Millis): void {
+    this.timeoutMs = timeoutMs;
     this.progress();
   }
 
-  /** Frees the timer and the listener; the signal is left as it is. */
+  /** Cancels the timer and removes the listener; does not abort the signal. */
   close(): void {
     this.cancelTimer();
-    this.outer.removeEventListener('abort', this.onOuterAbort);
+    this.callerSignal.removeEventListener('abort', this.onCallerAbort);
   }
 
-  private stop(reason: StopReason): void {
+  private abortFor(reason: StopReason): void {
     if (this.reason !== undefined) return;
     this.reason = reason;
     this.cancelTimer();
-    this.abort.abort();
+    this.controller.abort();
   }
 }
--- a/packages/upstream/src/UpstreamConnections.ts
+++ b/packages/upstream/src/UpstreamConnections.ts
@@ -2,13 +2,13 @@
 import { Agent, request } from 'undici';
 import type { Dispatcher } from 'undici';
 
-/** Milliseconds that making a connection may take. */
+/** Connect timeout in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Connections kept to one upstream; a decode engine holds about twenty streams. */
+/** Most connections to one upstream; a decode engine runs about 20 streams at once. */
 const MAX_CONNECTIONS = 64;
 
-/** What a call sends. */
+/** An HTTP request to an upstream. */
 export interface UpstreamCall {
   readonly method: Dispatcher.HttpMethod;
   readonly path: string;
@@ -16,15 +16,14 @@
   readonly body?: string | Uint8Array;
 }
 
-/** What a probe on a new connection found. */
+/** Whether the upstream responded to a probe on a new connection. */
 export type ProbeOutcome = 'answers' | 'dead';
 
 /**
- * The connections to one upstream.
+ * The connection pool of one upstream.
  *
- * One request at a time runs on a connection (no pipelining), and undici destroys a connection
- * whose answer was not read to its end. So bytes of an abandoned answer can never be taken for the
- * answer of the next request.
+ * Requests are not pipelined, and undici destroys a connection whose response was not read to its end,
+ * so bytes of an abandoned response are never read as the next response.
  */
 export class UpstreamConnections {
   private readonly origin: string;
@@ -40,7 +39,7 @@
   constructor(origin: string, clock: Clock) {
     this.origin = origin;
     this.clock = clock;
-    this.agent = UpstreamConnections.newAgent();
+    this.agent = UpstreamConnections.createAgent();
   }
 
   /** Gets the base URL. */
@@ -52,8 +51,8 @@
    * Sends a call.
    *
    * @param call - Method, path, headers, body.
-   * @param signal - Ends the call and its connection.
-   * @returns The answer's head with its body still to be read; rejects as undici does.
+   * @param signal - Aborts the call and closes its connection.
+   * @returns Status and headers, with the body still to be read; rejects with the errors of undici.
    */
   send(call: UpstreamCall, signal: AbortSignal): Promise<Dispatcher.ResponseData> {
     return request(new URL(call.path, this.origin), {
@@ -62,25 +61,25 @@
       body: call.body,
       signal,
       dispatcher: this.agent,
-      // Progress is judged on the clock of the host, by ProgressDeadline.
+      // ProgressDeadline applies timeouts, on the clock of the host.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
   }
 
   /**
-   * Leaves all connections so far and tries a new one.
+   * Replaces the connection pool and sends a probe over the new one.
    *
-   * After one connection went silent its siblings may have lost their path too. New calls go over
-   * new connections at once; calls that still make progress on old ones are left to end.
+   * When one connection times out, others in the pool may have lost their path too. New calls use new
+   * connections; calls in flight on old ones may finish.
    *
-   * @param path - A cheap GET of the upstream.
-   * @param timeoutMs - Milliseconds to wait for its answer.
-   * @returns Whether the upstream answered, which tells a lost path from a dead upstream.
+   * @param path - Path of a cheap GET endpoint.
+   * @param timeoutMs - Timeout of the probe, in milliseconds.
+   * @returns `answers` where only the old path was lost, `dead` where the upstream does not respond.
    */
   async renewAndProbe(path: string, timeoutMs: Millis): Promise<ProbeOutcome> {
     const old = this.agent;
-    this.agent = UpstreamConnections.newAgent();
+    this.agent = UpstreamConnections.createAgent();
     void old.close();
     const abort = new AbortController();
     const cancel = this.clock.after(timeoutMs, () => abort.abort());
@@ -95,12 +94,12 @@
     }
   }
 
-  /** Ends all connections at once. */
+  /** Closes all connections at once. */
   async destroy(): Promise<void> {
     await this.agent.destroy();
   }
 
-  private static newAgent(): Agent {
+  private static createAgent(): Agent {
     return new Agent({
       connections: MAX_CONNECTIONS,
       pipelining: 1,
--- a/packages/upstream/src/decodeStream.ts
+++ b/packages/upstream/src/decodeStream.ts
@@ -4,19 +4,19 @@
 import type { ProgressDeadline } from './ProgressDeadline.ts';
 import { decodeEventSchema } from './wire.ts';
 
-/** Longest line accepted, in characters; one token's text is far shorter. */
-const MAX_LINE = 64 * 1024;
+/** Longest line accepted, in characters; a token's event is far shorter. */
+const MAX_LINE_LENGTH = 64 * 1024;
 
 /**
- * Reads a decode stream (one JSON event a line) and checks each event against its command.
+ * Reads a decode stream (one JSON event per line) and validates each event against its command.
  *
- * A late or crossed answer carries another attempt's id, and a resumed one may repeat or skip
- * positions; both would put a stranger's or a wrong text before a caller. So nothing is passed on
- * unless the attempt matches and the position is the next one.
+ * A late or misrouted response carries another attempt's id, and a resumed stream may repeat or skip
+ * positions. An event is yielded only if its attempt matches and its position is the next one, so that
+ * a caller never gets another request's text or a gap.
  *
- * @param body - The bytes of the answer.
- * @param cmd - What was asked.
- * @param deadline - Told of each chunk that arrives.
+ * @param body - The response body.
+ * @param cmd - The command that was sent.
+ * @param deadline - Reset by each chunk.
  * @returns Events in order; ends after `done` or after one error.
  */
 export async function* readDecodeEvents(
@@ -25,39 +25,39 @@
   deadline: ProgressDeadline,
 ): AsyncGenerator<Result<DecodeEvent, UpstreamError>> {
   const decoder = new TextDecoder();
-  let rest = '';
-  let expected = cmd.fromPosition;
+  let buffered = '';
+  let expectedPosition = cmd.fromPosition;
   for await (const chunk of body) {
     deadline.progress();
-    rest += decoder.decode(chunk, { stream: true });
-    const lines = rest.split('\n');
-    rest = lines.pop() ?? '';
-    if (rest.length > MAX_LINE) {
-      yield err(broken('line too long'));
+    buffered += decoder.decode(chunk, { stream: true });
+    const lines = buffered.split('\n');
+    buffered = lines.pop() ?? '';
+    if (buffered.length > MAX_LINE_LENGTH) {
+      yield err(brokenError('line too long'));
       return;
     }
-    let next = 0;
-    while (next < lines.length) {
-      const event = checkLine(lines[next] ?? '', cmd, expected);
+    let index = 0;
+    while (index < lines.length) {
+      const event = validateLine(lines[index] ?? '', cmd, expectedPosition);
       yield event;
       if (event.isErr() || event.value.type === 'done') return;
-      expected += 1;
-      next += 1;
+      expectedPosition += 1;
+      index += 1;
     }
   }
-  yield err(broken('stream ended early'));
+  yield err(brokenError('stream ended before its done event'));
 }
 
-function checkLine(
+function validateLine(
   line: string,
   cmd: DecodeCommand,
-  expected: number,
+  expectedPosition: number,
 ): Result<DecodeEvent, UpstreamError> {
   const event = parseLine(line);
-  if (event === undefined) return err(broken('malformed event'));
-  if (event.attempt !== cmd.attempt) return err(mismatch('event of another attempt'));
-  if (event.type === 'token' && event.position !== expected) {
-    return err(mismatch(`position ${event.position} instead of ${expected}`));
+  if (event === undefined) return err(brokenError('malformed event'));
+  if (event.attempt !== cmd.attempt) return err(mismatchError('event belongs to another attempt'));
+  if (event.type === 'token' && event.position !== expectedPosition) {
+    return err(mismatchError(`position ${event.position} instead of ${expectedPosition}`));
   }
   return ok(event);
 }
@@ -71,10 +71,10 @@
   }
 }
 
-function broken(message: string): UpstreamError {
+function brokenError(message: string): UpstreamError {
   return { type: 'broken', dispatched: true, message };
 }
 
-function mismatch(message: string): UpstreamError {
+function mismatchError(message: string): UpstreamError {
   return { type: 'mismatch', dispatched: true, message };
 }
--- a/packages/upstream/src/upstreamErrors.ts
+++ b/packages/upstream/src/upstreamErrors.ts
@@ -1,8 +1,8 @@
 import type { StopReason } from './ProgressDeadline.ts';
 import type { UpstreamError } from './ModelEngine.ts';
 
-/** Error codes that occur only while a connection is made, so that nothing was sent yet. */
-const BEFORE_SENDING = new Set([
+/** Error codes that occur only while connecting, before anything was sent. */
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -11,29 +11,32 @@
 ]);
 
 /**
- * Gets the upstream error for what a call threw.
+ * Maps what a call threw to an upstream error.
  *
- * `dispatched` is false only for errors that can't occur once a byte of the request has been
- * sent: after that the upstream may have run the work even though no answer came.
+ * `dispatched` is false only for errors that can't occur once a byte of the request was sent; after
+ * that the upstream may have run the work even without a response.
  *
  * @param thrown - What undici threw.
- * @param stop - Why the call was ended from this side, if it was.
+ * @param stop - Why the call was aborted locally; undefined if it was not.
  * @returns The typed error.
  */
 export function toUpstreamError(thrown: unknown, stop: StopReason | undefined): UpstreamError {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   if (stop === 'silent') return { type: 'silent', dispatched: true, message: 'no progress' };
   if (stop === 'caller') return { type: 'cancelled', dispatched: true, message: 'cancelled' };
-  if (BEFORE_SENDING.has(errorCode(thrown))) {
+  if (CONNECT_ERROR_CODES.has(errorCode(thrown))) {
     return { type: 'unreachable', dispatched: false, message };
   }
   return { type: 'broken', dispatched: true, message };
 }
 
 /**
- * Tells whether a try surely reached no upstream. The next one adds to nobody's load then, so that no
- * budget of repeats needs to pay for it: with a server down, all hosts together would spend theirs on
- * refused connections, and requests that could run elsewhere would be refused.
+ * Tells whether an attempt certainly reached no upstream. Its retry adds no load and is not charged to
+ * the retry budget: with a server down, refused connections would otherwise exhaust the budgets of all
+ * hosts, and requests that could run elsewhere would be refused.
+ *
+ * @param error - How the attempt failed.
+ * @returns True where nothing was sent and nothing responded.
  */
 export function reachedNobody(error: UpstreamError): boolean {
   return error.type === 'unreachable' && !error.dispatched && error.answered !== true;
--- a/packages/upstream/src/wire.ts
+++ b/packages/upstream/src/wire.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
-/** Shape of a prefill answer. */
+/** Response to a prefill command. */
 export const prefillResultSchema = z.object({
   attempt: z.string(),
   kvHandle: z.string(),
@@ -8,7 +8,7 @@
   cachedTokens: z.number().int().nonnegative(),
 });
 
-/** Shape of one line of a decode stream. */
+/** One line of a decode stream. */
 export const decodeEventSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('token'),
@@ -24,7 +24,7 @@
   }),
 ]);
 
-/** Shape of a load report. */
+/** A load report. */
 export const loadSnapshotSchema = z.object({
   role: z.enum(['prefill', 'decode']),
   usedPieces: z.number().nonnegative(),
--- a/packages/upstream/tests/FreshCall.test.ts
+++ b/packages/upstream/tests/FreshCall.test.ts
@@ -5,15 +5,15 @@
 import { SystemClock } from '@camphorvane/core';
 import { FreshCall } from '@camphorvane/upstream';
 
-const BOUNDS = { headMs: 2_000, silenceMs: 2_000 };
+const TIMEOUTS = { headMs: 2_000, silenceMs: 2_000 };
 
 async function withServer(
-  answer: (socket: Socket) => void,
+  respond: (socket: Socket) => void,
   run: (origin: string) => Promise<void>,
 ): Promise<void> {
   const server: Server = createServer((socket) => {
     socket.on('error', () => undefined);
-    socket.once('data', () => answer(socket));
+    socket.once('data', () => respond(socket));
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -27,7 +27,7 @@
 
 async function readText(origin: string): Promise<{ text: string; error: string | undefined }> {
   const never = new AbortController().signal;
-  const call = new FreshCall(origin, new SystemClock(), BOUNDS, never);
+  const call = new FreshCall(origin, new SystemClock(), TIMEOUTS, never);
   let text = '';
   try {
     const res = await call.send({ method: 'GET', path: '/', headers: {} });
@@ -40,16 +40,16 @@
   }
 }
 
-test('a body without a length that ends with its connection is whole', async () => {
+test('a body without a length is complete when its connection is closed in order', async () => {
   await withServer(
     (socket) => socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nwhole'),
     async (origin) => assert.deepEqual(await readText(origin), { text: 'whole', error: undefined }),
   );
 });
 
-// A server crashes while it sends a body without a length, so its connection is reset in the middle.
-// Taken for an end, the reset would give a caller half a certificate as if it were all of it.
-test('a body without a length whose connection is reset is broken', async () => {
+// A server that crashes while sending a body without a length resets the connection. Read as the end of
+// the body, the reset would deliver half a certificate as complete.
+test('a body without a length fails as broken when its connection is reset', async () => {
   await withServer(
     (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf');
@@ -59,11 +59,9 @@
   );
 });
 
-// Some servers send a second answer after a complete one. On a connection of its own nobody reads
-// it, and the caller gets the first one alone.
-// Guards against half an answer that looks whole: the runtime shows a reset that comes together with the
-// last bytes as an orderly end.
-test('a body without a length is broken also where the reset comes with its last bytes', async () => {
+// Node reports a reset that arrives with the last bytes as an orderly end, so that a truncated body would
+// pass for a complete one.
+test('a body without a length fails as broken when the reset arrives with its last bytes', async () => {
   await withServer(
     (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nha');
@@ -76,7 +74,9 @@
   );
 });
 
-test('bytes after a complete answer belong to nobody', async () => {
+// Some servers send a second response after a complete one. On a dedicated connection it is never read,
+// and the caller gets only the first one.
+test('bytes after a complete response are discarded', async () => {
   const one = 'HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\none';
   await withServer(
     (socket) => socket.write(`${one}HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\ntwo`),
@@ -84,12 +84,12 @@
   );
 });
 
-// Nobody listens where a server was: not a byte was sent, so the call may go to another server.
-test('a connection that is refused has sent nothing', async () => {
+// Nothing listens at the address of a stopped server: nothing was sent, so another server may be tried.
+test('a refused connection counts as not dispatched', async () => {
   const call = new FreshCall(
     'http://127.0.0.1:1',
     new SystemClock(),
-    BOUNDS,
+    TIMEOUTS,
     new AbortController().signal,
   );
   const error = await call.send({ method: 'GET', path: '/', headers: {} }).then(
