--- a/packages/core/src/Clock.ts
+++ b/packages/core/src/Clock.ts
@@ -1,17 +1,17 @@
-/** A span or a point of time, in milliseconds. */
+/** A duration or a point in time, in milliseconds. */
 export type Millis = number;
 
-/** Ends a timer that has not fired yet; calling it again does nothing. */
+/** Cancels a timer that has not fired yet; idempotent. */
 export type CancelTimer = () => void;
 
 /**
- * The one source of time for all code of the project.
+ * The only source of time in the project.
  *
- * `now` is monotonic: leases, grants and deadlines are checked against it, since a step of the
- * wall clock would otherwise lengthen a lease. Two processes must never compare their `now`.
+ * `now` is monotonic: a step of the wall clock must not lengthen a lease, so leases, grants and deadlines
+ * are checked against it. Values of `now` from two processes are not comparable.
  */
 export interface Clock {
-  /** Gets the monotonic time in milliseconds since some start of this process. */
+  /** Gets the monotonic time in milliseconds since an arbitrary origin of this process. */
   now(): Millis;
 
   /** Gets the wall time in milliseconds since the Unix epoch, for display and logs only. */
@@ -21,7 +21,7 @@
    * Runs a function once after a delay.
    *
    * @param delay - Milliseconds from now; values below zero count as zero.
-   * @param run - What to run.
+   * @param run - The function to run.
    * @returns A function that cancels the timer.
    */
   after(delay: Millis, run: () => void): CancelTimer;
--- a/packages/core/src/InterruptibleSleep.ts
+++ b/packages/core/src/InterruptibleSleep.ts
@@ -1,6 +1,6 @@
 import type { Clock, Millis } from './Clock.ts';
 
-/** A wait of one task that another task can end early. */
+/** A sleep of one task that another task can interrupt. */
 export class InterruptibleSleep {
   private readonly clock: Clock;
 
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Ends the wait that is under way, if there is one. */
+  /** Ends the current wait, if any. */
   interrupt(): void {
     this.finish();
   }
--- a/packages/core/src/Prompt.ts
+++ b/packages/core/src/Prompt.ts
@@ -3,42 +3,42 @@
 import type { Tokens } from './tokens.ts';
 import { estimateTokens } from './tokens.ts';
 
-/** A part of a prompt that other requests may share; equal ids mean equal text. */
+/** A segment of a prompt that other requests may share; equal ids mean equal text. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: Tokens;
 }
 
-/** A caller's call that is passed on byte for byte; this program never reads its body. */
+/** A call that is forwarded byte for byte; the router never parses its body. */
 export interface OpaqueCall {
   readonly method: string;
   /** Path and query as the caller sent them. */
   readonly path: string;
-  /** Lower-case names; the key and the headers of one connection are already taken out. */
+  /** Lower-case names, without the key and hop-by-hop headers. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Time on this host's clock at which the caller gives up. */
+  /** Caller's deadline on this host's monotonic clock. */
   readonly deadlineAt: Millis;
   /** Team of the caller's key; undefined on routes that need none. */
   readonly team: TeamId | undefined;
 }
 
-/** A prompt whose text stays with the engine: only its size and its shared parts are known. */
+/** A prompt whose text the router does not know: only its size and its parts are declared. */
 export interface OpaquePrompt {
   readonly tokens: Tokens;
-  /** All parts in order; the last one belongs to the request or its session alone. */
+  /** All parts in order; only the request or its session uses the last one. */
   readonly parts: readonly PromptPart[];
   readonly call: OpaqueCall;
 }
 
-/** What an engine is to read: text of our own interface, or a call that is passed on. */
+/** Input of a prefill: text from the native interface, or a forwarded call. */
 export type Prompt = string | OpaquePrompt;
 
 /**
  * Gets the text of a prompt.
  *
  * @param prompt - The prompt.
- * @returns The text; undefined for a call that is passed on.
+ * @returns The text; undefined for a forwarded call.
  */
 export function textOf(prompt: Prompt): string | undefined {
   return typeof prompt === 'string' ? prompt : undefined;
@@ -48,7 +48,7 @@
  * Gets the size of a prompt.
  *
  * @param prompt - The prompt.
- * @returns Its tokens: estimated for text, as declared for a call that is passed on.
+ * @returns Its tokens: estimated for text, declared by the caller for a forwarded call.
  */
 export function promptTokens(prompt: Prompt): Tokens {
   return typeof prompt === 'string' ? estimateTokens(prompt) : prompt.tokens;
--- a/packages/core/src/RandomSource.ts
+++ b/packages/core/src/RandomSource.ts
@@ -3,7 +3,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
-/** A seeded random source, so that a run can be repeated from its seed. */
+/** A seeded random number generator; a run can be reproduced from its seed. */
 export class RandomSource {
   private readonly generator: RandomGenerator;
 
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Gets an exponentially distributed span.
+   * Gets an exponentially distributed value.
    *
    * @param mean - The mean of the distribution, in any unit.
    * @returns A value in the same unit.
--- a/packages/core/src/Refusal.ts
+++ b/packages/core/src/Refusal.ts
@@ -1,12 +1,12 @@
 /**
- * What is known about whether a refused request ran.
+ * Whether a refused request may have run.
  *
- * `not_run` is said only where no upstream was given the work; anything after dispatch that has no
- * answer is `unknown`, since a caller who reads `not_run` may safely send the request again.
+ * `not_run` means that the request was dispatched to no upstream, so the caller may safely retry it. A
+ * request that was dispatched and got no response is `unknown`.
  */
 export type Execution = 'not_run' | 'unknown';
 
-/** Every reason for which a caller is refused; docs/ERRORS.md explains each. */
+/** All refusal codes; docs/ERRORS.md explains each. */
 export const REFUSAL_CODES = [
   'bad_request',
   'body_too_large',
@@ -43,7 +43,7 @@
 /** A refusal as the caller sees it. */
 export interface Refusal {
   readonly code: RefusalCode;
-  /** One plain sentence for a person. */
+  /** One human-readable sentence. */
   readonly message: string;
   readonly execution: Execution;
   /** Milliseconds after which a retry may succeed; absent where waiting does not help. */
@@ -51,10 +51,10 @@
 }
 
 /**
- * Makes a refusal for work that no upstream was given.
+ * Creates a refusal for a request that was dispatched to no upstream.
  *
- * @param code - The stable code.
- * @param message - One sentence for a person.
+ * @param code - One of {@link REFUSAL_CODES}.
+ * @param message - One human-readable sentence.
  * @param retryAfterMs - Milliseconds after which a retry may succeed.
  * @returns The refusal, with execution `not_run`.
  */
@@ -63,10 +63,10 @@
 }
 
 /**
- * Makes a refusal for work that an upstream may have run.
+ * Creates a refusal for a request that an upstream may have run.
  *
- * @param code - The stable code.
- * @param message - One sentence for a person.
+ * @param code - One of {@link REFUSAL_CODES}.
+ * @param message - One human-readable sentence.
  * @returns The refusal, with execution `unknown`.
  */
 export function outcomeUnknown(code: RefusalCode, message: string): Refusal {
--- a/packages/core/src/RoutingConfig.ts
+++ b/packages/core/src/RoutingConfig.ts
@@ -2,42 +2,42 @@
 import type { Tokens } from './tokens.ts';
 
 /**
- * The order in which waiting work is served: `lookup` is interactive and goes first, `certificate`
- * covers calls that must not run twice, `summary` may wait for long but must not be dropped.
+ * Priority class of a request: `lookup` is interactive and goes first, `certificate` must not run
+ * twice, `summary` may queue for long but must not be dropped.
  */
 export type WorkClass = 'lookup' | 'certificate' | 'summary';
 
-/** A team's rate over all hosts together, in tokens. */
+/** A team's rate limit in tokens, summed over all hosts. */
 export interface TeamRate {
   readonly tokensPerSecond: Tokens;
   readonly burstTokens: Tokens;
 }
 
-/** A team (tenant) and the digests of the keys that its callers may show. */
+/** A team (tenant), with the digests of its callers' keys. */
 export interface TeamConfig {
   readonly id: TeamId;
   readonly rate: TeamRate;
-  /** SHA-256 digests (hex) of the keys in force; the keys themselves are never stored. */
+  /** SHA-256 digests (hex) of the valid keys; the keys themselves are never stored. */
   readonly keyDigests: readonly string[];
-  /** Models the team may ask for; empty means all. */
+  /** Models that the team may request; empty means all. */
   readonly models: readonly ModelId[];
-  /** Weight in fair queueing; 1 unless the operator says otherwise. */
+  /** Weight in fair queueing; defaults to 1. */
   readonly weight: number;
-  /** Goes before the priority of a route where it is given; lower goes first. */
+  /** Overrides the priority of a route; lower goes first. */
   readonly priority?: number;
-  /** Tokens charged for a call that does not say its own size. */
+  /** Tokens charged for a call that declares no size. */
   readonly plainCallTokens?: Tokens;
 }
 
-/** Bounds on requests to an upstream that has just started. */
+/** Limits on requests to an upstream that has just started. */
 export interface SlowStartBounds {
-  /** Milliseconds after its start for which an upstream is bounded. */
+  /** Milliseconds after its start during which the limit applies. */
   readonly forMs: number;
-  /** Requests a second that it takes meanwhile, from all hosts together. */
+  /** Requests per second during that time, summed over all hosts. */
   readonly requestsPerSecond: number;
 }
 
-/** What an engine is used for. */
+/** Phase of a completion that an engine runs. */
 export type EngineRole = 'prefill' | 'decode';
 
 /** One model engine. */
@@ -49,13 +49,13 @@
   readonly role: EngineRole;
   /** Memory in pieces; see `TOKENS_PER_PIECE`. */
   readonly memoryPieces: number;
-  /** Requests that the engine runs at once; absent where only its memory bounds them. */
+  /** Most requests in flight; absent where only memory limits them. */
   readonly slots?: number;
-  /** True where the engine refuses orders with an old fencing number. */
+  /** True where the engine rejects orders with an outdated fencing token. */
   readonly checksFencing: boolean;
-  /** Milliseconds that a change of its role takes; absent where its role can't be changed. */
+  /** Milliseconds that a role change takes; absent where the role is fixed. */
   readonly roleSwitchMs?: number;
-  /** Output tokens in one event of a stream; 1 where absent. */
+  /** Output tokens per stream event; defaults to 1. */
   readonly eventTokens?: Tokens;
   /** Absent where an engine takes its full load from its start on. */
   readonly slowStart?: SlowStartBounds;
@@ -67,23 +67,23 @@
   readonly engines: readonly EngineConfig[];
   /** Largest prompt plus output, in tokens. */
   readonly maxTokens: Tokens;
-  /** Target for the first token, in milliseconds. */
+  /** Target for the time to first token, in milliseconds. */
   readonly ttftTargetMs: number;
-  /** Target for the time between tokens, in milliseconds. */
+  /** Target for the token interval, in milliseconds. */
   readonly itlTargetMs: number;
-  /** Rate of the link into each decode engine, in pieces a second. */
+  /** Bandwidth of the link into each decode engine, in pieces per second. */
   readonly linkPiecesPerSecond: number;
 }
 
-/** How a route of a plain service may be treated. */
+/** Rules for the calls of one route of a plain service. */
 export interface ServiceRoute {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   /** Path prefix below the service, starting with a slash. */
   readonly path: string;
-  /** True where a call may be repeated; false demands an Idempotency-Key and runs at most once. */
+  /** True where a call may be retried; false requires an Idempotency-Key and runs at most once. */
   readonly idempotent: boolean;
   readonly class: WorkClass;
-  /** Tokens charged to the team for one call. */
+  /** Tokens charged to the team per call. */
   readonly costTokens: Tokens;
 }
 
@@ -92,13 +92,13 @@
   readonly id: UpstreamId;
   readonly url: string;
   readonly zone: ZoneId;
-  /** Calls the server may run at once. */
+  /** Most calls in flight on the server. */
   readonly maxConcurrent: number;
   /** Absent where a server takes its full load from its start on. */
   readonly slowStart?: SlowStartBounds;
 }
 
-/** A plain service beside the model engines. */
+/** An HTTP service that is not a model engine. */
 export interface ServiceConfig {
   readonly id: ServiceId;
   readonly servers: readonly ServiceServer[];
@@ -106,52 +106,52 @@
   readonly timeoutMs: number;
 }
 
-/** A rule about which requests may wait, and for how long; the first rule that matches counts. */
+/** Queue wait limit of the matching requests; the first rule that matches applies. */
 export interface WaitRule {
   /** Team it applies to; absent means all. */
   readonly team?: TeamId;
   /** Model it applies to; absent means all. */
   readonly model?: ModelId;
   readonly class: WorkClass;
-  /** Longest time in the queue, in milliseconds. */
+  /** Queue wait limit in milliseconds. */
   readonly maxWaitMs: number;
 }
 
-/** What may be repeated on a route: any call, none after it was sent, or a stream by its own rule. */
+/** Retry policy of a route: any call, none once dispatched, or the rules for streams. */
 export type RouteKind = 'idempotent' | 'at_most_once' | 'stream';
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   readonly service: ServiceId;
   /** Share of the requests, relative to the other targets. */
   readonly weight: number;
 }
 
-/** A route by host name and path, whose calls are passed on byte for byte. */
+/** A route by host name and path, whose calls are forwarded byte for byte. */
 export interface ForwardRoute {
   readonly name: string;
   readonly host: string;
-  /** Starts and ends with a slash; the longest prefix of a path wins. */
+  /** Starts and ends with a slash; the longest matching prefix wins. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly targets: readonly RouteTarget[];
   /** True where no key is needed. */
   readonly open: boolean;
-  /** Longest time until the answer has ended, in milliseconds. */
+  /** Time limit for the whole response, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which the answer, or the first event of a stream, is on time, in milliseconds. */
+  /** Latency target for the response, or for the first event of a stream, in milliseconds. */
   readonly targetMs: number;
-  /** Longest pause between two events of a stream that is on time, in milliseconds; absent: any. */
+  /** Target for the longest pause between two events of a stream, in milliseconds; absent: none. */
   readonly longestPauseMs?: number;
   /** Lower goes first. */
   readonly priority: number;
-  /** Most upstreams that may run one request. */
+  /** Most upstreams that may execute one request. */
   readonly maxAttempts: number;
-  /** True where a broken stream may go on at another engine after its last event. */
+  /** True where a broken stream may be resumed on another engine after its last event. */
   readonly resumable: boolean;
 }
 
-/** Bounds on what callers may send, and on how long they may take. */
+/** Limits on the size and the duration of callers' requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -159,23 +159,23 @@
   readonly idleTimeoutMs: number;
 }
 
-/** The whole configuration that hosts act on. */
+/** The complete routing configuration of the hosts. */
 export interface RoutingConfig {
   readonly teams: readonly TeamConfig[];
   readonly pools: readonly PoolConfig[];
   readonly services: readonly ServiceConfig[];
   readonly waitRules: readonly WaitRule[];
-  /** Availability zones whose upstreams get nothing; none where absent. */
+  /** Availability zones whose upstreams get no requests; none where absent. */
   readonly drainedZones?: readonly ZoneId[];
-  /** Routes by host name and path; absent where only our own interface is served. */
+  /** Routes by host name and path; absent where only the native interface is served. */
   readonly routes?: readonly ForwardRoute[];
-  /** Bounds that the operators set; absent where the built-in ones hold. */
+  /** Limits set by the operators; absent for the defaults. */
   readonly limits?: CallerLimits;
 }
 
-/** A configuration together with its place in the order of all accepted ones. */
+/** A configuration with its version. */
 export interface VersionedConfig {
-  /** Grows with each accepted change; a host never goes back. 0 means none yet. */
+  /** Increases with each accepted change; a host never reverts to an older one. 0 means none yet. */
   readonly version: number;
   readonly config: RoutingConfig;
 }
--- a/packages/core/src/SystemClock.ts
+++ b/packages/core/src/SystemClock.ts
@@ -17,7 +17,7 @@
    * Runs a function once after a delay.
    *
    * @param delay - Milliseconds from now.
-   * @param run - What to run.
+   * @param run - The function to run.
    * @returns A function that cancels the timer.
    */
   after(delay: Millis, run: () => void): CancelTimer {
--- a/packages/core/src/VirtualClock.ts
+++ b/packages/core/src/VirtualClock.ts
@@ -6,17 +6,17 @@
   readonly run: () => void;
 }
 
-/** Lets every promise that can go on without a timer go on: setImmediate runs after microtasks. */
-function settle(): Promise<void> {
+/** Drains the microtask queue: setImmediate runs after it. */
+function drainMicrotasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
 /**
- * A clock that moves only when told to, so that a test gives the same verdict on every machine.
+ * A clock that is advanced manually, for deterministic tests.
  *
- * Timers fire in order of time, then in order of creation.
+ * Timers fire in order of time, then of creation.
  */
 export class VirtualClock implements Clock {
   private time: Millis;
@@ -46,7 +46,7 @@
     return this.wallStart + this.time;
   }
 
-  /** Gets how many timers wait to fire. */
+  /** Gets the number of timers that have not fired. */
   pending(): number {
     return this.timers.length;
   }
@@ -55,7 +55,7 @@
    * Runs a function once the clock has been advanced past a delay.
    *
    * @param delay - Milliseconds from now.
-   * @param run - What to run.
+   * @param run - The function to run.
    * @returns A function that cancels the timer.
    */
   after(delay: Millis, run: () => void): CancelTimer {
@@ -70,23 +70,23 @@
   }
 
   /**
-   * Moves time on, firing each timer at its time and letting promises settle between timers.
+   * Advances the time, firing each due timer at its time and draining microtasks between timers.
    *
-   * @param span - Milliseconds to move on.
+   * @param duration - Milliseconds to advance.
    * @returns A promise that resolves when the clock has reached the new time.
    */
-  async advance(span: Millis): Promise<void> {
-    const until = this.time + span;
-    await settle();
+  async advance(duration: Millis): Promise<void> {
+    const until = this.time + duration;
+    await drainMicrotasks();
     let timer = this.timers[0];
     while (timer !== undefined && timer.at <= until) {
       this.timers.shift();
       this.time = Math.max(this.time, timer.at);
       timer.run();
-      await settle();
+      await drainMicrotasks();
       [timer] = this.timers;
     }
     this.time = until;
-    await settle();
+    await drainMicrotasks();
   }
 }
--- a/packages/core/src/digest.ts
+++ b/packages/core/src/digest.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * Gets a 48-bit number from a text, evenly spread, for hashing onto hosts and buckets.
+ * Hashes a text to a uniformly distributed 48-bit integer, for hosts and buckets.
  *
  * @param text - Any text.
  * @returns An integer from 0 to 2^48 - 1, the same in every process.
--- a/packages/core/src/ids.ts
+++ b/packages/core/src/ids.ts
@@ -1,29 +1,29 @@
-/** Names a host (one process of the system), as its settings give it. */
+/** Id of a host (one process of the router), from its settings. */
 export type HostId = string;
 
-/** Names an availability zone. */
+/** Id of an availability zone. */
 export type ZoneId = string;
 
-/** Names a team (a tenant of the operators). */
+/** Id of a team (a tenant). */
 export type TeamId = string;
 
-/** Names a model that callers ask for. */
+/** Name of a model that callers request. */
 export type ModelId = string;
 
-/** Names an upstream: a model engine or one server of a plain service. */
+/** Id of an upstream: a model engine or one server of a plain service. */
 export type UpstreamId = string;
 
-/** Names a plain service of the configuration. */
+/** Id of a plain service in the configuration. */
 export type ServiceId = string;
 
-/** Names a request as a caller sent it; one id from acceptance to the end of its answer. */
+/** Id of a caller's request, from acceptance to the end of its response. */
 export type RequestId = string;
 
-/** Names one dispatch of a request to one upstream; an answer is checked against it. */
+/** Id of one dispatch of a request to one upstream; responses are checked against it. */
 export type AttemptId = string;
 
-/** Names one reservation of engine memory. */
+/** Id of one reservation of engine memory. */
 export type ReservationId = string;
 
-/** Identifies one start of a host; a restarted host has another incarnation. */
+/** Id of one run of a host; a restarted host has a new incarnation. */
 export type Incarnation = string;
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -1,11 +1,11 @@
 import { hashNumber } from './digest.ts';
 
 /**
- * Orders candidates for a key by rendezvous hashing: each key has an order of its own, and taking
- * one candidate away moves only the keys that had it first.
+ * Ranks candidates for a key by rendezvous hashing: removing a candidate moves only the keys that
+ * ranked it first.
  *
- * @param key - What is placed.
- * @param candidates - Names to choose among; their order does not matter.
+ * @param key - The key to assign.
+ * @param candidates - Names to rank, in any order.
  * @returns All candidates, best first.
  */
 export function rendezvousOrder(key: string, candidates: readonly string[]): readonly string[] {
@@ -16,10 +16,10 @@
 }
 
 /**
- * Gets the best candidate for a key, if there is any.
+ * Gets the highest-ranked candidate for a key.
  *
- * @param key - What is placed.
- * @param candidates - Names to choose among.
+ * @param key - The key to assign.
+ * @param candidates - Names to rank, in any order.
  * @returns The first of {@link rendezvousOrder}, or undefined without candidates.
  */
 export function rendezvousFirst(key: string, candidates: readonly string[]): string | undefined {
--- a/packages/core/src/tokens.ts
+++ b/packages/core/src/tokens.ts
@@ -7,13 +7,13 @@
 /** Tokens in one piece, the unit of engine memory. */
 export const TOKENS_PER_PIECE = 1024;
 
-/** Bytes of text that make about one token, used where no engine has counted the tokens yet. */
+/** Average bytes of text per token, for estimates before an engine has counted the tokens. */
 const BYTES_PER_TOKEN = 4;
 
 /**
- * Gets the pieces of engine memory that a number of tokens needs.
+ * Converts tokens to pieces of engine memory.
  *
- * @param tokens - Prompt plus allowed output.
+ * @param tokens - Prompt plus maximum output.
  * @returns Whole pieces, rounded up, at least one.
  */
 export function piecesFor(tokens: Tokens): Pieces {
@@ -21,7 +21,7 @@
 }
 
 /**
- * Gets an estimate of a text's tokens before an engine has counted them.
+ * Estimates the tokens of a text before an engine has counted them.
  *
  * @param text - The prompt.
  * @returns At least one token.
