--- a/packages/upstream/src/FreshCall.ts
+++ b/packages/upstream/src/FreshCall.ts
@@ -37,7 +37,7 @@
 
   private readonly deadline: ProgressDeadline;
 
-  private readonly bounds: FreshCallBounds;
+  private readonly timeouts: FreshCallBounds;
 
   private connected = false;
 
@@ -49,11 +49,11 @@
   /**
    * @param origin - Base URL of the upstream.
    * @param clock - Times the call.
-   * @param bounds - Timeouts of the call.
+   * @param timeouts - Timeouts of the call.
    * @param signal - Aborts the call and closes its connection.
    */
-  constructor(origin: string, clock: Clock, bounds: FreshCallBounds, signal: AbortSignal) {
-    this.bounds = bounds;
+  constructor(origin: string, clock: Clock, timeouts: FreshCallBounds, signal: AbortSignal) {
+    this.timeouts = timeouts;
     this.client = new Client(origin, {
       pipelining: 1,
       connect: this.connector(),
@@ -63,7 +63,7 @@
     this.client.once('connect', () => {
       this.connected = true;
     });
-    this.deadline = new ProgressDeadline(clock, bounds.headMs, signal);
+    this.deadline = new ProgressDeadline(clock, timeouts.headMs, signal);
   }
 
   /**
@@ -71,7 +71,7 @@
    *
    * @param origin - Base URL of the upstream.
    * @param clock - Times the call.
-   * @param bounds - Timeouts of the call.
+   * @param timeouts - Timeouts of the call.
    * @param signal - Aborts the call and closes its connection.
    * @param exchange - Sends the call and reads its response.
    * @returns The result of `exchange`; what it throws is returned as an upstream error.
@@ -79,11 +79,11 @@
   static async run<T>(
     origin: string,
     clock: Clock,
-    bounds: FreshCallBounds,
+    timeouts: FreshCallBounds,
     signal: AbortSignal,
     exchange: (connection: FreshCall) => Promise<Result<T, UpstreamError>>,
   ): Promise<Result<T, UpstreamError>> {
-    const connection = new FreshCall(origin, clock, bounds, signal);
+    const connection = new FreshCall(origin, clock, timeouts, signal);
     try {
       return await exchange(connection);
     } catch (thrown) {
@@ -107,7 +107,7 @@
       body: call.body,
       signal: this.deadline.signal(),
     });
-    this.deadline.allow(this.bounds.silenceMs);
+    this.deadline.allow(this.timeouts.silenceMs);
     return res;
   }
 
--- a/packages/upstream/tests/FreshCall.test.ts
+++ b/packages/upstream/tests/FreshCall.test.ts
@@ -27,16 +27,16 @@
 
 async function readText(origin: string): Promise<{ text: string; error: string | undefined }> {
   const never = new AbortController().signal;
-  const call = new FreshCall(origin, new SystemClock(), TIMEOUTS, never);
+  const connection = new FreshCall(origin, new SystemClock(), TIMEOUTS, never);
   let text = '';
   try {
-    const res = await call.send({ method: 'GET', path: '/', headers: {} });
-    for await (const chunk of call.read(res)) text += Buffer.from(chunk).toString();
+    const res = await connection.send({ method: 'GET', path: '/', headers: {} });
+    for await (const chunk of connection.read(res)) text += Buffer.from(chunk).toString();
     return { text, error: undefined };
   } catch (thrown) {
-    return { text, error: call.errorOf(thrown).type };
+    return { text, error: connection.errorOf(thrown).type };
   } finally {
-    call.close();
+    connection.close();
   }
 }
 
@@ -86,17 +86,17 @@
 
 // Nothing listens at the address of a stopped server: nothing was sent, so another server may be tried.
 test('a refused connection counts as not dispatched', async () => {
-  const call = new FreshCall(
+  const connection = new FreshCall(
     'http://127.0.0.1:1',
     new SystemClock(),
     TIMEOUTS,
     new AbortController().signal,
   );
-  const error = await call.send({ method: 'GET', path: '/', headers: {} }).then(
+  const error = await connection.send({ method: 'GET', path: '/', headers: {} }).then(
     () => undefined,
-    (thrown: unknown) => call.errorOf(thrown),
+    (thrown: unknown) => connection.errorOf(thrown),
   );
-  call.close();
+  connection.close();
   assert.equal(error?.type, 'unreachable');
   assert.equal(error.dispatched, false);
 });
