--- a/packages/caller/src/CallerBackend.ts
+++ b/packages/caller/src/CallerBackend.ts
@@ -10,7 +10,7 @@
 } from '@camphorvane/core';
 import type { Result } from 'neverthrow';
 
-/** A host that a caller may use. */
+/** A host that is recommended to a caller. */
 export interface AdvisedHost {
   readonly host: string;
   readonly zone: string;
@@ -18,25 +18,25 @@
   readonly address: string;
 }
 
-/** Which hosts a caller should use, best first, and for how long it may keep the answer. */
+/** Hosts that a caller should use, best first, and for how many milliseconds it may cache the list. */
 export interface HostAdvice {
   readonly hosts: readonly AdvisedHost[];
   readonly keepForMs: number;
 }
 
-/** A completion as a caller asked for it. */
+/** A caller's request for a completion. */
 export interface CompletionRequest {
-  /** The key that came with the request; undefined where there was none. */
+  /** The caller's key; undefined without one. */
   readonly key: string | undefined;
   readonly model: ModelId;
   readonly prompt: string;
   readonly maxTokens: Tokens;
   readonly class: WorkClass;
-  /** True where another host passed the request on; it is not passed on again. */
+  /** True where another host forwarded the request; it is not forwarded again. */
   readonly hopped: boolean;
 }
 
-/** What happens to a completion, in order; ends after `done` or `refused`. */
+/** An event of a completion; the last one is `done` or `refused`. */
 export type CompletionEvent =
   | { readonly type: 'token'; readonly position: number; readonly text: string }
   | {
@@ -48,102 +48,102 @@
     }
   | { readonly type: 'refused'; readonly refusal: Refusal };
 
-/** A call to a plain service as a caller made it. */
+/** A caller's call to a plain service. */
 export interface ServiceRequest {
   readonly key: string | undefined;
   readonly service: ServiceId;
   readonly method: string;
-  /** Path and query below the service, starting with one slash. */
+  /** Path and query below the service, with a leading slash. */
   readonly path: string;
-  /** Only headers that may reach an upstream. */
+  /** Only headers that are forwarded to an upstream. */
   readonly headers: Readonly<Record<string, string>>;
   readonly idempotencyKey: string | undefined;
   readonly body: Uint8Array;
   readonly hopped: boolean;
 }
 
-/** The whole answer of a plain service. */
+/** The complete response of a plain service. */
 export interface ServiceReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** True where only the end of the server's connection ended the body. */
+  /** True where only the close of the server's connection ended the body. */
   readonly endsWithConnection?: boolean;
-  /** True where an earlier answer to the same Idempotency-Key is given again. */
+  /** True for the stored response to an earlier call with the same Idempotency-Key. */
   readonly replayed: boolean;
 }
 
-/** What a call that is passed on declares of the work that a model engine will have with it. */
+/** Work that a forwarded call declares for a model engine. */
 export interface DeclaredWork {
   readonly promptTokens: Tokens;
   readonly maxTokens: Tokens;
-  /** The caller's estimate of its output; often far off, right at the median. */
+  /** The caller's estimate of its output; correct in the median, but single values may be far off. */
   readonly expectedTokens?: Tokens;
   readonly parts: readonly PromptPart[];
-  /** Position after which the caller wants a stream to go on; undefined for a new one. */
+  /** Last position received, after which the caller resumes a stream; undefined for a new one. */
   readonly lastPosition: number | undefined;
 }
 
-/** A call that is passed on byte for byte, by host name and path. */
+/** A call that is routed by host name and path, and forwarded byte for byte. */
 export interface ForwardRequest {
   readonly key: string | undefined;
-  /** Host name that the caller asked for. */
+  /** Host name of the request. */
   readonly host: string;
   readonly method: string;
   /** Path and query as the caller sent them. */
   readonly path: string;
-  /** Only headers that may reach an upstream; lower-case names. */
+  /** Only headers that are forwarded to an upstream; lower-case names. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** Milliseconds that the caller will wait; undefined where it did not say. */
+  /** The caller's timeout in milliseconds; undefined where it sent none. */
   readonly patienceMs: Millis | undefined;
-  /** Undefined where the caller declared nothing. */
+  /** Undefined where the caller declared none. */
   readonly work: DeclaredWork | undefined;
 }
 
-/** What happens to a call that is passed on, in order; ends after `done` or `refused`. */
+/** An event of a forwarded call; the last one is `done` or `refused`. */
 export type ForwardEvent =
   | {
       readonly type: 'head';
       readonly status: number;
       readonly headers: Readonly<Record<string, string>>;
-      /** True where the end of the connection is to end the body, as it did on the way here. */
+      /** True where closing the connection must end the body, as it did at the upstream. */
       readonly endsWithConnection?: boolean;
     }
   | { readonly type: 'data'; readonly bytes: Uint8Array }
   | { readonly type: 'done' }
   | { readonly type: 'refused'; readonly refusal: Refusal };
 
-/** What an edge that passes calls on asks of the host. */
+/** What an ingress for forwarded calls needs of the host. */
 export interface ForwardBackend {
   /**
-   * Serves a call that is passed on.
+   * Serves a forwarded call.
    *
-   * @param id - The request's id, as its caller gave it.
+   * @param id - The request's id, set by its caller.
    * @param req - The call.
-   * @param signal - Aborted when the caller has gone.
-   * @returns The events; a `refused` after a `head` means that the answer broke off.
+   * @param signal - Aborted when the caller disconnects.
+   * @returns The events; `refused` after `head` means that the response is truncated.
    */
   forward(id: RequestId, req: ForwardRequest, signal: AbortSignal): AsyncIterable<ForwardEvent>;
 }
 
-/** What the HTTP interface asks of the host; a scenario calls it without HTTP. */
+/** What the HTTP server needs of the host; scenarios call it without HTTP. */
 export interface CallerBackend {
-  /** Gets a new id for a request. */
+  /** Creates a request id. */
   newRequestId(): RequestId;
 
-  /** Gets the hosts that the key's team should use. */
+  /** Gets the hosts recommended to the key's team. */
   advise(key: string | undefined): Result<HostAdvice, Refusal>;
 
-  /** Gets the models that the key's team may ask for. */
+  /** Gets the models that the key's team may request. */
   models(key: string | undefined): Result<readonly ModelId[], Refusal>;
 
   /**
    * Serves a completion.
    *
    * @param id - The request's id.
-   * @param req - What the caller asked for.
-   * @param signal - Aborted when the caller has gone.
+   * @param req - The caller's request.
+   * @param signal - Aborted when the caller disconnects.
    * @returns The events; ends after `done` or `refused`.
    */
   complete(
@@ -156,9 +156,9 @@
    * Serves a call to a plain service.
    *
    * @param id - The request's id.
-   * @param req - What the caller asked for.
-   * @param signal - Aborted when the caller has gone.
-   * @returns The whole answer, or a refusal.
+   * @param req - The caller's request.
+   * @param signal - Aborted when the caller disconnects.
+   * @returns The complete response, or a refusal.
    */
   callService(
     id: RequestId,
--- a/packages/caller/src/CallerServer.ts
+++ b/packages/caller/src/CallerServer.ts
@@ -22,40 +22,40 @@
 import type { CompletionKind } from './openai/completionBody.ts';
 import { parseCompletionBody } from './openai/completionBody.ts';
 
-/** Header by which a caller says how long its request may wait. */
+/** Header with the priority class of a request. */
 export const CLASS_HEADER = 'x-camphorvane-class';
 
-/** Header that marks a request passed on by another host; it holds the fleet's credential. */
+/** Header of a request forwarded by another host; its value is the fleet's credential. */
 export const HOP_HEADER = 'x-camphorvane-hop';
 
-/** Milliseconds in which the head of a request must have arrived. */
+/** Timeout of the request headers, in milliseconds. */
 const HEADERS_TIMEOUT_MS = 5_000;
 
-/** Milliseconds in which a whole request must have arrived. */
+/** Timeout of a whole request, in milliseconds. */
 const REQUEST_TIMEOUT_MS = 20_000;
 
-/** Milliseconds of silence after which the kernel starts to probe a caller's connection. */
+/** Idle time after which the kernel sends TCP keep-alive probes to a caller, in milliseconds. */
 const KEEPALIVE_DELAY_MS = 5_000;
 
-/** Milliseconds that open connections get when listening ends. */
+/** Milliseconds until open connections are closed after the server stops listening. */
 const STOP_GRACE_MS = 500;
 
-/** Largest head of a request, in bytes. */
+/** Largest request headers, in bytes. */
 const MAX_HEADER_BYTES = 16 * 1024;
 
 interface Env {
   readonly Bindings: HttpBindings;
 }
 
-/** What a caller server is made of. */
+/** Dependencies of a caller server. */
 export interface CallerServerOptions {
   readonly backend: CallerBackend;
   readonly clock: Clock;
-  /** Tells whether a hop header's value is the fleet's credential. */
+  /** Tells whether a value of {@link HOP_HEADER} is the fleet's credential. */
   readonly isFleet: (credential: string) => boolean;
 }
 
-/** The HTTP interface towards callers. */
+/** The HTTP server for callers. */
 export class CallerServer {
   private readonly options: CallerServerOptions;
 
@@ -65,32 +65,32 @@
 
   private server: Server | undefined;
 
-  /** @param options - What the server is made of. */
+  /** @param options - Dependencies of the server. */
   constructor(options: CallerServerOptions) {
     this.options = options;
     this.completions = new CompletionRoute(options.backend, options.clock);
     this.bodies = new BodyReader(options.clock);
   }
 
-  /** Gets the hono application, for tests. */
+  /** Creates the Hono application. */
   app(): Hono<Env> {
     const app = new Hono<Env>();
-    app.get('/v1/hosts', (c) => this.hosts(c));
-    app.get('/v1/models', (c) => this.models(c));
+    app.get('/v1/hosts', (c) => this.listHosts(c));
+    app.get('/v1/models', (c) => this.listModels(c));
     app.post('/v1/chat/completions', (c) => this.complete(c, 'chat'));
     app.post('/v1/completions', (c) => this.complete(c, 'text'));
     app.all('/services/:service/*', (c) => this.callService(c));
     app.get('/healthz', (c) => c.json({ status: 'ok' }));
-    app.notFound(() => refusalResponse(notRun('bad_request', 'There is nothing at this path.')));
-    app.onError(() => refusalResponse(notRun('internal', 'The request could not be read.')));
+    app.notFound(() => refusalResponse(notRun('bad_request', 'No route matches this path.')));
+    app.onError(() => refusalResponse(notRun('internal', 'The request could not be processed.')));
     return app;
   }
 
   /**
-   * Listens for callers.
+   * Starts listening.
    *
    * @param ip - IP address to listen on.
-   * @param port - Port, 0 for any.
+   * @param port - Port; 0 for any free one.
    * @returns The port in use.
    */
   start(ip: string, port: number): Promise<number> {
@@ -109,7 +109,7 @@
         },
         (info) => resolve(info.port),
       ) as Server;
-      // A caller whose path is lost sends no end of its connection; the kernel's probes find it.
+      // A caller whose network path is lost sends no FIN; keep-alive probes detect it.
       server.on('connection', (socket) => socket.setKeepAlive(true, KEEPALIVE_DELAY_MS));
       server.once('error', reject);
       this.server = server;
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Ends listening. Requests have ended by then; connections that still stay open, kept by callers
-   * for later requests, are cut after a moment.
+   * Stops listening, after all requests have ended. Keep-alive connections that callers leave open are
+   * closed after {@link STOP_GRACE_MS}.
    */
   stop(): Promise<void> {
     return new Promise((resolve) => {
@@ -136,7 +136,7 @@
     });
   }
 
-  private hosts(c: Context<Env>): Response {
+  private listHosts(c: Context<Env>): Response {
     return this.options.backend
       .advise(keyOf(c.env.incoming))
       .match(
@@ -149,7 +149,7 @@
       );
   }
 
-  private models(c: Context<Env>): Response {
+  private listModels(c: Context<Env>): Response {
     return this.options.backend.models(keyOf(c.env.incoming)).match(
       (models) =>
         Response.json({
@@ -162,7 +162,7 @@
 
   private async complete(c: Context<Env>, kind: CompletionKind): Promise<Response> {
     const { incoming, outgoing } = c.env;
-    const read = await this.readChecked(incoming);
+    const read = await this.readValidated(incoming);
     if (read.isErr()) return refuseAndClose(read.error, outgoing);
     const header = incoming.headers[CLASS_HEADER];
     const body = parseCompletionBody(
@@ -175,14 +175,14 @@
       id: this.options.backend.newRequestId(),
       kind,
       body: body.value,
-      gone: goneWith(outgoing),
+      gone: abortOnDisconnect(outgoing),
       req: {
         key: keyOf(incoming),
         model: body.value.model,
         prompt: body.value.prompt,
         maxTokens: body.value.maxTokens,
         class: body.value.class,
-        hopped: this.isHopped(incoming),
+        hopped: this.isForwardedByHost(incoming),
       },
     };
     if (!body.value.stream) return this.completions.answerWhole(call);
@@ -194,11 +194,11 @@
     const service = c.req.param('service') ?? '';
     const path = checkServicePath((incoming.url ?? '').slice(`/services/${service}`.length));
     if (path.isErr()) return refuseAndClose(path.error, outgoing);
-    const read = await this.readChecked(incoming);
+    const read = await this.readValidated(incoming);
     if (read.isErr()) return refuseAndClose(read.error, outgoing);
     const id = this.options.backend.newRequestId();
     const idempotencyKey = incoming.headers['idempotency-key'];
-    const reply = await this.options.backend.callService(
+    const result = await this.options.backend.callService(
       id,
       {
         key: keyOf(incoming),
@@ -208,53 +208,53 @@
         headers: passedHeaders(incoming),
         idempotencyKey: typeof idempotencyKey === 'string' ? idempotencyKey : undefined,
         body: read.value,
-        hopped: this.isHopped(incoming),
+        hopped: this.isForwardedByHost(incoming),
       },
-      goneWith(outgoing).signal,
+      abortOnDisconnect(outgoing).signal,
     );
-    return reply.match(
-      (answer) =>
-        new Response(hasBody(answer.status) ? Buffer.from(answer.body) : null, {
-          status: answer.status,
+    return result.match(
+      (reply) =>
+        new Response(hasBody(reply.status) ? Buffer.from(reply.body) : null, {
+          status: reply.status,
           headers: {
-            ...answer.headers,
+            ...reply.headers,
             [REQUEST_ID_HEADER]: id,
-            ...(answer.replayed ? { 'x-camphorvane-replayed': 'true' } : {}),
+            ...(reply.replayed ? { 'x-camphorvane-replayed': 'true' } : {}),
           },
         }),
       refusalResponse,
     );
   }
 
-  private async readChecked(req: IncomingMessage): Promise<Result<Buffer, Refusal>> {
+  private async readValidated(req: IncomingMessage): Promise<Result<Buffer, Refusal>> {
     const headers = checkHeaders(req);
     if (headers.isErr()) return headers.map(() => Buffer.alloc(0));
     const body = await this.bodies.read(req);
     return body.andThen((bytes) => checkKeyPlaces(keyOf(req), req, bytes).andThen(() => ok(bytes)));
   }
 
-  private isHopped(req: IncomingMessage): boolean {
+  private isForwardedByHost(req: IncomingMessage): boolean {
     const value = req.headers[HOP_HEADER];
     return typeof value === 'string' && this.options.isFleet(value);
   }
 }
 
-/** Statuses that have no body by the protocol. */
+/** Tells whether HTTP allows a body with a status. */
 function hasBody(status: number): boolean {
   return status !== 204 && status !== 304;
 }
 
-/** What is left of a body that was not read must not be taken for the next request. */
+/** Closes the connection, so that the unread rest of the body is not parsed as the next request. */
 function refuseAndClose(refusal: Refusal, out: ServerResponse): Response {
   out.setHeader('connection', 'close');
   return refusalResponse(refusal);
 }
 
-/** Aborts when the caller's connection ends before its answer does. */
-function goneWith(out: ServerResponse): AbortController {
-  const gone = new AbortController();
+/** Creates a controller that aborts when the caller disconnects before the response has ended. */
+function abortOnDisconnect(out: ServerResponse): AbortController {
+  const controller = new AbortController();
   out.once('close', () => {
-    if (!out.writableFinished) gone.abort();
+    if (!out.writableFinished) controller.abort();
   });
-  return gone;
+  return controller;
 }
--- a/packages/caller/src/http/BodyReader.ts
+++ b/packages/caller/src/http/BodyReader.ts
@@ -4,17 +4,17 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-/** Bounds on the bodies that a host reads. */
+/** Limits on request bodies. */
 export interface BodyLimits {
   /** Largest body of one request, in bytes. */
   readonly maxBytes: number;
-  /** Bytes of all bodies being read at once. */
+  /** Total bytes of all bodies being read at once. */
   readonly maxTotalBytes: number;
-  /** Milliseconds in which a body must have arrived whole. */
+  /** Milliseconds within which a whole body must arrive. */
   readonly timeoutMs: Millis;
 }
 
-/** A prompt of tens of thousands of tokens is some hundred kilobytes; 4 MB leaves room. */
+/** Default limits; a prompt of tens of thousands of tokens takes a few hundred kB of the 4 MiB. */
 export const DEFAULT_BODY_LIMITS: BodyLimits = {
   maxBytes: 4 * 1024 * 1024,
   maxTotalBytes: 128 * 1024 * 1024,
@@ -22,37 +22,37 @@
 };
 
 /**
- * Reads request bodies within bounds of time and memory.
+ * Reads request bodies within limits of time and memory.
  *
- * A caller that sends a body a byte at a time, or many that send large ones together, would
- * otherwise hold sockets and memory until the process falls over for everybody.
+ * Without them, callers that send a body byte by byte, or many large bodies at once, exhaust sockets and
+ * memory until the process fails.
  */
 export class BodyReader {
   private readonly clock: Clock;
 
   private readonly limits: BodyLimits;
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
   /**
    * @param clock - Times each body.
-   * @param limits - The bounds.
+   * @param limits - Limits on each body and on all together.
    */
   constructor(clock: Clock, limits: BodyLimits = DEFAULT_BODY_LIMITS) {
     this.clock = clock;
     this.limits = limits;
   }
 
-  /** Gets the bytes of all bodies being read now. */
+  /** Gets the total bytes of the bodies being read. */
   getHeldBytes(): number {
-    return this.heldBytes;
+    return this.bufferedBytes;
   }
 
   /**
-   * Reads one body whole.
+   * Reads a whole body.
    *
    * @param req - The request.
-   * @returns Its bytes, or why it was not read.
+   * @returns The bytes, or a refusal.
    */
   read(req: IncomingMessage): Promise<Result<Buffer, Refusal>> {
     return new Promise((resolve) => {
@@ -62,7 +62,7 @@
       const finish = (result: Result<Buffer, Refusal>): void => {
         cancelTimer();
         req.removeAllListeners('data');
-        this.heldBytes -= size;
+        this.bufferedBytes -= size;
         size = 0;
         if (result.isErr()) req.resume();
         resolve(result);
@@ -72,22 +72,22 @@
       );
       req.on('data', (chunk: Buffer) => {
         size += chunk.length;
-        this.heldBytes += chunk.length;
+        this.bufferedBytes += chunk.length;
         chunks.push(chunk);
-        if (size > this.limits.maxBytes) finish(err(this.tooLarge()));
-        else if (this.heldBytes > this.limits.maxTotalBytes) finish(err(this.tooMany()));
+        if (size > this.limits.maxBytes) finish(err(this.bodyTooLarge()));
+        else if (this.bufferedBytes > this.limits.maxTotalBytes) finish(err(this.bufferFull()));
       });
       req.once('end', () => finish(ok(Buffer.concat(chunks))));
-      req.once('error', () => finish(err(notRun('caller_gone', 'The request body broke off.'))));
-      req.once('close', () => finish(err(notRun('caller_gone', 'The request body broke off.'))));
+      req.once('error', () => finish(err(notRun('caller_gone', 'The request body was aborted.'))));
+      req.once('close', () => finish(err(notRun('caller_gone', 'The request body was aborted.'))));
     });
   }
 
-  private tooLarge(): Refusal {
+  private bodyTooLarge(): Refusal {
     return notRun('body_too_large', `The body is larger than ${this.limits.maxBytes} bytes.`);
   }
 
-  private tooMany(): Refusal {
-    return notRun('queue_full', 'Too many large requests arrive at once.', 1_000);
+  private bufferFull(): Refusal {
+    return notRun('queue_full', 'The host is reading too many large requests at once.', 1_000);
   }
 }
--- a/packages/caller/src/http/CompletionRoute.ts
+++ b/packages/caller/src/http/CompletionRoute.ts
@@ -7,23 +7,23 @@
 import type { CompletionBody, CompletionKind } from '../openai/completionBody.ts';
 import { refusalBody, refusalResponse } from './refusalStatus.ts';
 
-/** Milliseconds for which a caller may take nothing of a stream before it counts as gone. */
+/** Milliseconds without a read by the caller after which its stream is aborted. */
 const CALLER_STALL_MS: Millis = 10_000;
 
-/** Names the request in every answer, so that callers and operators can match logs. */
+/** Header with the request id in every response, to correlate logs of callers and operators. */
 export const REQUEST_ID_HEADER = 'x-request-id';
 
-/** One completion on its way, from the checked body to the end of the answer. */
+/** One completion in flight, from the validated body to the end of the response. */
 export interface CompletionCall {
   readonly id: RequestId;
   readonly kind: CompletionKind;
   readonly body: CompletionBody;
   readonly req: CompletionRequest;
-  /** Aborted when the caller has gone. */
+  /** Aborted when the caller disconnects. */
   readonly gone: AbortController;
 }
 
-/** Turns the events of a completion into OpenAI's answers, streamed or whole. */
+/** Writes the events of a completion as an OpenAI response, streamed or as one JSON body. */
 export class CompletionRoute {
   private readonly backend: CallerBackend;
 
@@ -31,7 +31,7 @@
 
   /**
    * @param backend - Serves the completion.
-   * @param clock - Times callers that take nothing.
+   * @param clock - Times callers that stop reading.
    */
   constructor(backend: CallerBackend, clock: Clock) {
     this.backend = backend;
@@ -39,10 +39,10 @@
   }
 
   /**
-   * Answers with one JSON body.
+   * Responds with one JSON body.
    *
    * @param call - The completion.
-   * @returns The HTTP answer.
+   * @returns The HTTP response.
    */
   async answerWhole(call: CompletionCall): Promise<Response> {
     const texts: string[] = [];
@@ -52,7 +52,7 @@
           texts.push(event.text);
           break;
         case 'done':
-          return Response.json(wholeAnswer(this.headOf(call), texts.join(''), event), {
+          return Response.json(wholeAnswer(this.createHead(call), texts.join(''), event), {
             headers: { [REQUEST_ID_HEADER]: call.id },
           });
         case 'refused':
@@ -61,23 +61,23 @@
           event satisfies never;
       }
     }
-    return refusalResponse(endedWithoutOutcome());
+    return refusalResponse(missingOutcomeRefusal());
   }
 
   /**
-   * Answers with a stream of server-sent events, or with a plain refusal if nothing was sent yet.
+   * Responds with a stream of server-sent events, or with an error response if nothing was sent yet.
    *
    * @param call - The completion.
-   * @param out - The connection to the caller.
-   * @returns The plain refusal, or undefined once the stream has been written.
+   * @param out - The response to the caller.
+   * @returns The error response, or undefined once the stream has been written.
    */
   async answerStream(call: CompletionCall, out: ServerResponse): Promise<Response | undefined> {
     let started = false;
-    const head = this.headOf(call);
+    const head = this.createHead(call);
     for await (const event of this.backend.complete(call.id, call.req, call.gone.signal)) {
       if (!started && event.type === 'refused') return refusalResponse(event.refusal);
-      if (!started) this.startStream(call, out);
-      const sent = await this.write(out, this.eventText(head, event, !started, call.body));
+      if (!started) this.writeStreamHead(call, out);
+      const sent = await this.write(out, this.formatEvent(head, event, !started, call.body));
       started = true;
       if (!sent) call.gone.abort();
       if (event.type !== 'token') {
@@ -85,13 +85,13 @@
         return undefined;
       }
     }
-    if (!started) return refusalResponse(endedWithoutOutcome());
-    await this.write(out, sse(refusalBody(endedWithoutOutcome())));
+    if (!started) return refusalResponse(missingOutcomeRefusal());
+    await this.write(out, formatSse(refusalBody(missingOutcomeRefusal())));
     out.end();
     return undefined;
   }
 
-  private startStream(call: CompletionCall, out: ServerResponse): void {
+  private writeStreamHead(call: CompletionCall, out: ServerResponse): void {
     out.writeHead(200, {
       'content-type': 'text/event-stream; charset=utf-8',
       'cache-control': 'no-cache',
@@ -99,7 +99,7 @@
     });
   }
 
-  private eventText(
+  private formatEvent(
     head: AnswerHead,
     event: CompletionEvent,
     first: boolean,
@@ -107,43 +107,47 @@
   ): string {
     switch (event.type) {
       case 'token':
-        return sse(tokenChunk(head, event.text, first));
+        return formatSse(tokenChunk(head, event.text, first));
       case 'done': {
-        const usage = body.includeUsage ? sse(usageChunk(head, event)) : '';
-        return `${sse(finishChunk(head, event))}${usage}data: [DONE]\n\n`;
+        const usage = body.includeUsage ? formatSse(usageChunk(head, event)) : '';
+        return `${formatSse(finishChunk(head, event))}${usage}data: [DONE]\n\n`;
       }
       case 'refused':
-        // A stream that just ended would look like a short but whole answer.
-        return `event: error\n${sse(refusalBody(event.refusal))}`;
+        // Without an error event the truncated stream would look like a short but complete response.
+        return `event: error\n${formatSse(refusalBody(event.refusal))}`;
       default:
         return event satisfies never;
     }
   }
 
   /**
-   * Writes and, if the caller's side is full, waits for it to take something.
+   * Writes with backpressure: waits for `drain` if the send buffer is full.
    *
-   * A caller that keeps its connection but reads nothing would hold engine memory for as long as
-   * it likes; a full socket for {@link CALLER_STALL_MS} ends its request instead.
+   * A caller that keeps its connection open without reading would hold engine memory indefinitely, so
+   * its connection is destroyed when the buffer stays full for {@link CALLER_STALL_MS}.
+   *
+   * @returns False once the connection is closed.
    */
   private async write(out: ServerResponse, text: string): Promise<boolean> {
     if (out.destroyed) return false;
     if (out.write(text)) return true;
-    const stop = new AbortController();
+    const timerAbort = new AbortController();
     const drained = new Promise<'drained'>((resolve) => {
       out.once('drain', () => resolve('drained'));
     });
     const closed = new Promise<'closed'>((resolve) => {
       out.once('close', () => resolve('closed'));
     });
-    const stalled = sleep(this.clock, CALLER_STALL_MS, stop.signal).then(() => 'stalled' as const);
+    const stalled = sleep(this.clock, CALLER_STALL_MS, timerAbort.signal).then(
+      () => 'stalled' as const,
+    );
     const first = await Promise.race([drained, closed, stalled]);
-    stop.abort();
+    timerAbort.abort();
     if (first === 'stalled') out.destroy();
     return first === 'drained';
   }
 
-  private headOf(call: CompletionCall): AnswerHead {
+  private createHead(call: CompletionCall): AnswerHead {
     return {
       id: `${call.kind === 'chat' ? 'chatcmpl' : 'cmpl'}-${call.id}`,
       kind: call.kind,
@@ -154,14 +158,14 @@
 }
 
 /**
- * Gets the refusal for an answer whose events ended without an outcome, which is a fault of ours.
+ * Creates the refusal for events that ended without `done` or `refused`, an internal error.
  *
- * @returns A refusal that claims nothing about what ran.
+ * @returns A refusal with execution `unknown`.
  */
-function endedWithoutOutcome(): Refusal {
-  return outcomeUnknown('internal', 'The answer ended without an outcome.');
+function missingOutcomeRefusal(): Refusal {
+  return outcomeUnknown('internal', 'The response ended without an outcome.');
 }
 
-function sse(value: object): string {
+function formatSse(value: object): string {
   return `data: ${JSON.stringify(value)}\n\n`;
 }
--- a/packages/caller/src/http/refusalStatus.ts
+++ b/packages/caller/src/http/refusalStatus.ts
@@ -1,6 +1,6 @@
 import type { Refusal, RefusalCode } from '@camphorvane/core';
 
-/** Header that says whether a refused request ran: `not_run` or `unknown`. */
+/** Header that says whether a refused request may have run: `not_run` or `unknown`. */
 export const EXECUTION_HEADER = 'x-camphorvane-execution';
 
 /** HTTP status of each refusal code. */
@@ -34,7 +34,7 @@
   internal: 500,
 };
 
-/** The JSON body of a refusal, in the shape that clients of OpenAI's interface expect. */
+/** The JSON body of a refusal, in the error format of the OpenAI API. */
 export interface RefusalBody {
   readonly error: {
     readonly message: string;
@@ -80,10 +80,10 @@
 }
 
 /**
- * Makes the HTTP answer of a refusal.
+ * Creates the HTTP response of a refusal.
  *
  * @param refusal - The refusal.
- * @returns The answer.
+ * @returns The response.
  */
 export function refusalResponse(refusal: Refusal): Response {
   return new Response(JSON.stringify(refusalBody(refusal)), {
--- a/packages/caller/src/http/requestChecks.ts
+++ b/packages/caller/src/http/requestChecks.ts
@@ -4,7 +4,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-/** Headers whose doubling makes two readers of one request disagree about it. */
+/** Headers that must not be repeated: HTTP parsers disagree about which value applies. */
 const SINGLE_HEADERS = [
   'host',
   'content-length',
@@ -14,8 +14,8 @@
   'idempotency-key',
 ];
 
-/** Headers of callers that may reach a plain service; everything else stays here. */
-const PASSED_HEADERS = new Set([
+/** Request headers that are forwarded to a plain service; all others are dropped. */
+const FORWARDED_HEADERS = new Set([
   'accept',
   'accept-language',
   'content-type',
@@ -29,50 +29,55 @@
 
 const BEARER = /^Bearer ([\x21-\x7e]{8,512})$/i;
 
-/** Longest Idempotency-Key accepted. */
-const MAX_IDEMPOTENCY_KEY = 255;
+/** Longest Idempotency-Key accepted, in characters. */
+const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
 /**
- * Refuses requests that two readers could understand in different ways.
+ * Refuses requests that two HTTP parsers could interpret differently (request smuggling).
  *
  * @param req - The request.
  * @returns Nothing, or a refusal that names the header.
  */
 export function checkHeaders(req: IncomingMessage): Result<void, Refusal> {
   const names = req.rawHeaders.filter((_, index) => index % 2 === 0).map((n) => n.toLowerCase());
-  const doubled = SINGLE_HEADERS.find((name) => names.filter((n) => n === name).length > 1);
-  if (doubled !== undefined) {
-    return err(notRun('bad_request', `The header ${doubled} is there more than once.`));
+  const repeated = SINGLE_HEADERS.find((name) => names.filter((n) => n === name).length > 1);
+  if (repeated !== undefined) {
+    return err(notRun('bad_request', `The header ${repeated} is repeated.`));
   }
   if (names.includes('content-length') && names.includes('transfer-encoding')) {
-    return err(notRun('bad_request', 'Content-Length and Transfer-Encoding exclude each other.'));
+    return err(
+      notRun('bad_request', 'Content-Length and Transfer-Encoding are mutually exclusive.'),
+    );
   }
   const key = req.headers['idempotency-key'];
-  if (typeof key === 'string' && (key.length === 0 || key.length > MAX_IDEMPOTENCY_KEY)) {
+  if (typeof key === 'string' && (key.length === 0 || key.length > MAX_IDEMPOTENCY_KEY_LENGTH)) {
     return err(
-      notRun('bad_request', `Idempotency-Key must have 1 to ${MAX_IDEMPOTENCY_KEY} characters.`),
+      notRun(
+        'bad_request',
+        `Idempotency-Key must have 1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} characters.`,
+      ),
     );
   }
   return ok(undefined);
 }
 
 /**
- * Gets the key that a caller shows in its Authorization header.
+ * Gets the caller's key from the Authorization header.
  *
  * @param req - The request.
- * @returns The key, or undefined where there is none in that place.
+ * @returns The key, or undefined without a well-formed bearer token.
  */
 export function keyOf(req: IncomingMessage): string | undefined {
   return BEARER.exec(req.headers.authorization ?? '')?.[1];
 }
 
 /**
- * Refuses a request that repeats its key outside the Authorization header.
+ * Refuses a request that contains its key outside the Authorization header.
  *
- * A key in a query, another header or the body would travel on to an upstream and into its logs,
- * and whoever reads those could act as the team.
+ * A key in the query, another header or the body would leak to an upstream and its logs, whose readers
+ * could act as the team.
  *
- * @param key - The key, if there is one.
+ * @param key - The caller's key; undefined without one.
  * @param req - The request.
  * @param body - Its body.
  * @returns Nothing, or a refusal.
@@ -83,18 +88,18 @@
   body: Buffer,
 ): Result<void, Refusal> {
   if (key === undefined) return ok(undefined);
-  const elsewhere = Object.entries(req.headers)
+  const inOtherHeader = Object.entries(req.headers)
     .filter(([name]) => name !== 'authorization')
     .some(([, value]) => String(value).includes(key));
   const inUrl = decodeSafely(req.url ?? '').includes(key);
-  if (elsewhere || inUrl || body.includes(key)) {
-    return err(notRun('bad_request', 'The key may stand only in the Authorization header.'));
+  if (inOtherHeader || inUrl || body.includes(key)) {
+    return err(notRun('bad_request', 'The key is allowed only in the Authorization header.'));
   }
   return ok(undefined);
 }
 
 /**
- * Gets the headers of a request that may reach a plain service.
+ * Gets the request headers that are forwarded to a plain service.
  *
  * @param req - The request.
  * @returns Lower-case names and values.
@@ -102,16 +107,16 @@
 export function passedHeaders(req: IncomingMessage): Readonly<Record<string, string>> {
   return Object.fromEntries(
     Object.entries(req.headers)
-      .filter(([name]) => PASSED_HEADERS.has(name))
+      .filter(([name]) => FORWARDED_HEADERS.has(name))
       .map(([name, value]) => [name, String(value)]),
   );
 }
 
 /**
- * Checks the path of a service call.
+ * Validates the path of a service call.
  *
- * Dot segments, doubled slashes and backslashes are read differently by different servers, so a
- * path could match an idempotent route here and reach another one there.
+ * Servers normalize dot segments, repeated slashes and backslashes differently, so a path could match an
+ * idempotent route here and reach another route on the server.
  *
  * @param path - Path and query below the service.
  * @returns The path, or a refusal.
@@ -119,9 +124,9 @@
 export function checkServicePath(path: string): Result<string, Refusal> {
   const [pathname = ''] = path.split('?');
   const decoded = decodeSafely(pathname);
-  const strange = /\/\/|\\|\p{Cc}|(^|\/)\.{1,2}(\/|$)|%2f|%5c|%00/iu;
-  if (!path.startsWith('/') || strange.test(decoded) || strange.test(pathname)) {
-    return err(notRun('bad_request', 'The path has segments that servers read differently.'));
+  const ambiguous = /\/\/|\\|\p{Cc}|(^|\/)\.{1,2}(\/|$)|%2f|%5c|%00/iu;
+  if (!path.startsWith('/') || ambiguous.test(decoded) || ambiguous.test(pathname)) {
+    return err(notRun('bad_request', 'The path has segments that servers normalize differently.'));
   }
   return ok(path);
 }
--- a/packages/caller/src/openai/completionAnswers.ts
+++ b/packages/caller/src/openai/completionAnswers.ts
@@ -1,7 +1,7 @@
 import type { CompletionEvent } from '../CallerBackend.ts';
 import type { CompletionKind } from './completionBody.ts';
 
-/** What all parts of one answer share. */
+/** Fields that all chunks of one response share. */
 export interface AnswerHead {
   readonly id: string;
   readonly kind: CompletionKind;
@@ -12,13 +12,13 @@
 
 type DoneEvent = Extract<CompletionEvent, { readonly type: 'done' }>;
 
-/** JSON objects of OpenAI's interface, which are written and never read here. */
+/** A JSON object of the OpenAI API; only serialized here, never parsed. */
 export type AnswerObject = Readonly<Record<string, unknown>>;
 
 /**
- * Gets the chunk of a stream that carries one token.
+ * Creates the stream chunk of one token.
  *
- * @param head - What all chunks share.
+ * @param head - Shared fields.
  * @param text - The token's text.
  * @param first - True for the first chunk, which names the role in a chat.
  * @returns The chunk.
@@ -28,38 +28,38 @@
     head.kind === 'chat'
       ? { index: 0, delta: first ? { role: 'assistant', content: text } : { content: text } }
       : { index: 0, text };
-  return chunk(head, { ...choice, finish_reason: null, logprobs: null });
+  return createChunk(head, { ...choice, finish_reason: null, logprobs: null });
 }
 
 /**
- * Gets the chunk that ends a stream.
+ * Creates the last chunk with a choice, which carries the finish reason.
  *
- * @param head - What all chunks share.
- * @param done - How the answer ended.
+ * @param head - Shared fields.
+ * @param done - How the completion ended.
  * @returns The chunk.
  */
 export function finishChunk(head: AnswerHead, done: DoneEvent): AnswerObject {
   const choice = head.kind === 'chat' ? { index: 0, delta: {} } : { index: 0, text: '' };
-  return chunk(head, { ...choice, finish_reason: done.reason, logprobs: null });
+  return createChunk(head, { ...choice, finish_reason: done.reason, logprobs: null });
 }
 
 /**
- * Gets the chunk that carries the usage, after the last choice.
+ * Creates the chunk with the token usage, which follows the finish chunk.
  *
- * @param head - What all chunks share.
- * @param done - How the answer ended.
+ * @param head - Shared fields.
+ * @param done - How the completion ended.
  * @returns The chunk.
  */
 export function usageChunk(head: AnswerHead, done: DoneEvent): AnswerObject {
-  return { ...shared(head, true), choices: [], usage: usage(done) };
+  return { ...sharedFields(head, true), choices: [], usage: toUsage(done) };
 }
 
 /**
- * Gets a whole answer.
+ * Creates the body of a response that is not streamed.
  *
- * @param head - What describes the answer.
- * @param text - All of its text.
- * @param done - How it ended.
+ * @param head - Id, kind, model and creation time.
+ * @param text - The whole text.
+ * @param done - How the completion ended.
  * @returns The body.
  */
 export function wholeAnswer(head: AnswerHead, text: string, done: DoneEvent): AnswerObject {
@@ -68,17 +68,17 @@
       ? { index: 0, message: { role: 'assistant', content: text, refusal: null } }
       : { index: 0, text };
   return {
-    ...shared(head, false),
+    ...sharedFields(head, false),
     choices: [{ ...choice, finish_reason: done.reason, logprobs: null }],
-    usage: usage(done),
+    usage: toUsage(done),
   };
 }
 
-function chunk(head: AnswerHead, choice: AnswerObject): AnswerObject {
-  return { ...shared(head, true), choices: [choice] };
+function createChunk(head: AnswerHead, choice: AnswerObject): AnswerObject {
+  return { ...sharedFields(head, true), choices: [choice] };
 }
 
-function shared(head: AnswerHead, streamed: boolean): AnswerObject {
+function sharedFields(head: AnswerHead, streamed: boolean): AnswerObject {
   const chatObject = streamed ? 'chat.completion.chunk' : 'chat.completion';
   return {
     id: head.id,
@@ -88,7 +88,7 @@
   };
 }
 
-function usage(done: DoneEvent): AnswerObject {
+function toUsage(done: DoneEvent): AnswerObject {
   return {
     prompt_tokens: done.promptTokens,
     completion_tokens: done.outputTokens,
--- a/packages/caller/src/openai/completionBody.ts
+++ b/packages/caller/src/openai/completionBody.ts
@@ -4,13 +4,13 @@
 import type { Result } from 'neverthrow';
 import * as z from 'zod';
 
-/** Output allowed where a caller names no limit. */
+/** Output limit in tokens where the caller sets none. */
 const DEFAULT_MAX_TOKENS = 256;
 
-/** More output than any model gives; larger numbers are mistakes. */
-const MAX_MAX_TOKENS = 1_000_000;
+/** Largest output limit accepted, in tokens; no model generates more, so a larger value is a mistake. */
+const MAX_OUTPUT_TOKENS = 1_000_000;
 
-const maxTokens = z.number().int().min(1).max(MAX_MAX_TOKENS);
+const maxTokens = z.number().int().min(1).max(MAX_OUTPUT_TOKENS);
 
 const sharedFields = {
   model: z.string().min(1).max(200),
@@ -39,7 +39,7 @@
 
 const textSchema = z.object({ ...sharedFields, prompt: z.string().min(1) });
 
-/** A checked completion body. */
+/** A validated completion body. */
 export interface CompletionBody {
   readonly model: string;
   readonly prompt: string;
@@ -49,16 +49,16 @@
   readonly class: WorkClass;
 }
 
-/** Which of OpenAI's two interfaces a body is for. */
+/** Which OpenAI endpoint a body is for: chat completions or text completions. */
 export type CompletionKind = 'chat' | 'text';
 
 /**
- * Checks the body of a completion.
+ * Parses and validates the body of a completion.
  *
- * @param bytes - The body as it came.
- * @param kind - Which interface it is for.
- * @param classHeader - The caller's wish for a class, which goes before `service_tier`.
- * @returns The checked body, or a refusal that names the field.
+ * @param bytes - The raw body.
+ * @param kind - Which endpoint it is for.
+ * @param classHeader - The class requested by header; overrides `service_tier`.
+ * @returns The validated body, or a refusal that names the field.
  */
 export function parseCompletionBody(
   bytes: Buffer,
@@ -68,11 +68,13 @@
   return parseJson(bytes).andThen((json) => {
     switch (kind) {
       case 'chat':
-        return check(chatSchema, json).andThen((body) =>
-          finish(body, chatPrompt(body.messages), classHeader),
+        return validate(chatSchema, json).andThen((body) =>
+          toCompletionBody(body, renderChatPrompt(body.messages), classHeader),
         );
       case 'text':
-        return check(textSchema, json).andThen((body) => finish(body, body.prompt, classHeader));
+        return validate(textSchema, json).andThen((body) =>
+          toCompletionBody(body, body.prompt, classHeader),
+        );
       default:
         return kind satisfies never;
     }
@@ -84,19 +86,19 @@
     const text = new TextDecoder('utf-8', { fatal: true }).decode(bytes);
     return ok(JSON.parse(text));
   } catch {
-    return err(notRun('bad_request', 'The body is not JSON in UTF-8.'));
+    return err(notRun('bad_request', 'The body is not valid JSON in UTF-8.'));
   }
 }
 
-function check<T>(schema: z.ZodType<T>, json: unknown): Result<T, Refusal> {
+function validate<T>(schema: z.ZodType<T>, json: unknown): Result<T, Refusal> {
   const parsed = schema.safeParse(json);
   if (parsed.success) return ok(parsed.data);
   const [issue] = parsed.error.issues;
-  const where = issue === undefined || issue.path.length === 0 ? 'body' : issue.path.join('.');
-  return err(notRun('bad_request', `${where}: ${issue?.message ?? 'not as expected'}`));
+  const field = issue === undefined || issue.path.length === 0 ? 'body' : issue.path.join('.');
+  return err(notRun('bad_request', `${field}: ${issue?.message ?? 'invalid value'}`));
 }
 
-function chatPrompt(messages: z.infer<typeof chatSchema>['messages']): string {
+function renderChatPrompt(messages: z.infer<typeof chatSchema>['messages']): string {
   return messages
     .map(({ role, content }) => {
       const text =
@@ -108,12 +110,12 @@
 
 type SharedBody = Omit<z.infer<typeof textSchema>, 'prompt'>;
 
-function finish(
+function toCompletionBody(
   body: SharedBody,
   prompt: string,
   classHeader: string | undefined,
 ): Result<CompletionBody, Refusal> {
-  return workClass(classHeader, body.service_tier ?? undefined).map((cls) => ({
+  return parseWorkClass(classHeader, body.service_tier ?? undefined).map((cls) => ({
     model: body.model,
     prompt,
     maxTokens: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_MAX_TOKENS,
@@ -123,8 +125,8 @@
   }));
 }
 
-/** A caller says that its request may wait by the header, or by OpenAI's `flex` tier. */
-function workClass(
+/** Gets the class from the header, or else `summary` for OpenAI's `flex` tier. */
+function parseWorkClass(
   header: string | undefined,
   tier: string | undefined,
 ): Result<WorkClass, Refusal> {
@@ -136,6 +138,8 @@
     case 'summary':
       return ok(header);
     default:
-      return err(notRun('bad_request', 'x-camphorvane-class is lookup, certificate or summary.'));
+      return err(
+        notRun('bad_request', 'x-camphorvane-class must be lookup, certificate or summary.'),
+      );
   }
 }
--- a/packages/caller/tests/CallerServer.test.ts
+++ b/packages/caller/tests/CallerServer.test.ts
@@ -4,10 +4,10 @@
 import { TEST_KEY } from './support/FakeBackend.ts';
 import { withServer } from './support/withServer.ts';
 
-const clientFor = (port: number, apiKey = TEST_KEY): OpenAI =>
+const createClient = (port: number, apiKey = TEST_KEY): OpenAI =>
   new OpenAI({ baseURL: `http://127.0.0.1:${port}/v1`, apiKey, maxRetries: 0 });
 
-async function all<T>(items: AsyncIterable<T>): Promise<readonly T[]> {
+async function collect<T>(items: AsyncIterable<T>): Promise<readonly T[]> {
   const list: T[] = [];
   for await (const item of items) list.push(item);
   return list;
@@ -15,32 +15,32 @@
 
 const messages = [{ role: 'user' as const, content: 'Which solvent?' }];
 
-test('the published client gets a whole chat answer', async () => {
+test('the OpenAI client gets a complete chat response', async () => {
   await withServer(async (port, backend) => {
-    const answer = await clientFor(port).chat.completions.create({
+    const completion = await createClient(port).chat.completions.create({
       model: 'varnish-7b',
       messages,
       max_tokens: 7,
     });
-    assert.equal(answer.choices[0]?.message.content, 'white spirit');
-    assert.equal(answer.choices[0]?.finish_reason, 'stop');
-    assert.equal(answer.usage?.total_tokens, 7);
-    assert.equal(answer.usage?.prompt_tokens_details?.cached_tokens, 2);
+    assert.equal(completion.choices[0]?.message.content, 'white spirit');
+    assert.equal(completion.choices[0]?.finish_reason, 'stop');
+    assert.equal(completion.usage?.total_tokens, 7);
+    assert.equal(completion.usage?.prompt_tokens_details?.cached_tokens, 2);
     assert.equal(backend.completions[0]?.maxTokens, 7);
     assert.equal(backend.completions[0]?.prompt, 'user: Which solvent?\n');
   });
 });
 
-test('the published client streams a chat and a text completion', async () => {
+test('the OpenAI client streams a chat and a text completion', async () => {
   await withServer(async (port) => {
-    const client = clientFor(port);
+    const client = createClient(port);
     const chat = await client.chat.completions.create({
       model: 'varnish-7b',
       messages,
       stream: true,
       stream_options: { include_usage: true },
     });
-    const chunks = await all(chat);
+    const chunks = await collect(chat);
     const text = chunks.map((chunk) => chunk.choices[0]?.delta.content ?? '').join('');
     assert.equal(text, 'white spirit');
     assert.equal(chunks.at(-1)?.usage?.completion_tokens, 2);
@@ -49,14 +49,14 @@
       prompt: 'Which solvent?',
       stream: true,
     });
-    const texts = (await all(completion)).map((chunk) => chunk.choices[0]?.text ?? '');
+    const texts = (await collect(completion)).map((chunk) => chunk.choices[0]?.text ?? '');
     assert.equal(texts.join(''), 'white spirit');
   });
 });
 
-test('a stream that fails half-way reaches the published client as an error', async () => {
-  // The engines fail after the first token. A stream that simply ended would pass for a short but
-  // whole answer; the client must throw instead.
+test('the OpenAI client throws when a stream fails after its first token', async () => {
+  // The engines fail after the first token. Without an error event the truncated stream would pass for
+  // a short but complete response.
   await withServer(async (port, backend) => {
     backend.answerWith([
       { type: 'token', position: 0, text: 'white ' },
@@ -65,12 +65,12 @@
         refusal: { code: 'upstream_failed', message: 'Engines failed.', execution: 'unknown' },
       },
     ]);
-    const stream = await clientFor(port).chat.completions.create({
+    const stream = await createClient(port).chat.completions.create({
       model: 'varnish-7b',
       messages,
       stream: true,
     });
-    await assert.rejects(all(stream), (error) => {
+    await assert.rejects(collect(stream), (error) => {
       assert.ok(error instanceof APIError);
       assert.equal(error.code, 'upstream_failed');
       return true;
@@ -78,7 +78,7 @@
   });
 });
 
-test('a refusal carries code, execution and when to come back', async () => {
+test('a refusal carries its code, execution and Retry-After', async () => {
   await withServer(async (port, backend) => {
     backend.answerWith([
       {
@@ -105,10 +105,10 @@
   });
 });
 
-test('a wrong key is an authentication error to the published client', async () => {
+test('the OpenAI client reports an unknown key as an authentication error', async () => {
   await withServer(async (port) => {
-    await assert.rejects(clientFor(port, 'cvk_wrong_key').models.list(), { status: 401 });
-    const models = await clientFor(port).models.list();
+    await assert.rejects(createClient(port, 'cvk_wrong_key').models.list(), { status: 401 });
+    const models = await createClient(port).models.list();
     assert.deepEqual(
       models.data.map((model) => model.id),
       ['varnish-7b'],
@@ -116,19 +116,19 @@
   });
 });
 
-test('a caller that goes away ends its request', async () => {
-  // A caller closes its connection while the answer is being made. Were the host not to notice,
-  // engine memory would stay held for an answer that nobody reads.
+test('a request is aborted when its caller disconnects', async () => {
+  // A caller closes its connection while its response is generated. If the host missed it, engine memory
+  // would stay reserved for a response that nobody reads.
   await withServer(async (port, backend) => {
     backend.hang();
-    const stream = await clientFor(port).chat.completions.create({
+    const stream = await createClient(port).chat.completions.create({
       model: 'varnish-7b',
       messages,
       stream: true,
     });
     stream.controller.abort();
-    const until = Date.now() + 5_000;
-    while (backend.gone === 0 && Date.now() < until) {
+    const deadline = Date.now() + 5_000;
+    while (backend.gone === 0 && Date.now() < deadline) {
       await new Promise((resolve) => {
         setTimeout(resolve, 5);
       });
--- a/packages/caller/tests/badInput.test.ts
+++ b/packages/caller/tests/badInput.test.ts
@@ -26,9 +26,9 @@
 
 const statusOf = (res: string): number => Number(/^HTTP\/1\.1 (\d{3})/.exec(res)?.[1] ?? 0);
 
-test('requests that two readers could take apart differently are refused', async () => {
-  // A proxy in front and this host may disagree about where a request ends or whom it is for; the
-  // rest of one caller's bytes would then be read as another caller's request.
+test('requests that HTTP parsers could interpret differently are refused', async () => {
+  // Request smuggling: if a proxy and this host disagree about where a request ends or which host it is
+  // for, the rest of one caller's bytes is parsed as another caller's request.
   await withServer(async (port, backend) => {
     const cases = [
       [lengthOf(BODY), 'Transfer-Encoding: chunked', auth],
@@ -37,32 +37,32 @@
       [lengthOf(BODY), auth, 'Authorization: Bearer cvk_other_key'],
       [lengthOf(BODY), auth, 'X-Bad : space before the colon'],
     ];
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       cases.map((headers) => rawExchange(port, post(headers, BODY))),
     );
-    assert.deepEqual(answers.map(statusOf), [400, 400, 400, 400, 400]);
+    assert.deepEqual(responses.map(statusOf), [400, 400, 400, 400, 400]);
     assert.equal(backend.completions.length, 0);
   });
 });
 
-test('a key outside its header is refused and reaches nobody', async () => {
-  // A caller puts its key into the query, another header or the body. Passed on, it would end up
-  // in an upstream's logs, and whoever reads those could act as the team.
+test('a request with its key outside the Authorization header is refused and not forwarded', async () => {
+  // A key in the query, another header or the body would leak into an upstream's logs, whose readers
+  // could act as the team.
   await withServer(async (port, backend) => {
-    const leaky = JSON.stringify({ model: 'm', prompt: `my key is ${TEST_KEY}` });
+    const bodyWithKey = JSON.stringify({ model: 'm', prompt: `my key is ${TEST_KEY}` });
     const get = (path: string, header: string): string =>
       `GET ${path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n${auth}\r\n${header}\r\n\r\n`;
-    const answers = await Promise.all([
-      rawExchange(port, post([auth, lengthOf(leaky)], leaky)),
+    const responses = await Promise.all([
+      rawExchange(port, post([auth, lengthOf(bodyWithKey)], bodyWithKey)),
       rawExchange(port, get(`/services/s/find?k=${TEST_KEY}`, 'Accept: */*')),
       rawExchange(port, get('/services/s/find', `X-Api-Key: ${TEST_KEY}`)),
     ]);
-    assert.deepEqual(answers.map(statusOf), [400, 400, 400]);
+    assert.deepEqual(responses.map(statusOf), [400, 400, 400]);
     assert.equal(backend.completions.length + backend.calls.length, 0);
   });
 });
 
-test('a plain service gets neither the key nor headers of the connection', async () => {
+test('neither the key nor hop-by-hop headers are forwarded to a plain service', async () => {
   await withServer(async (port, backend) => {
     const request = [
       'GET /services/s/find?lot=7 HTTP/1.1',
@@ -81,10 +81,10 @@
   });
 });
 
-test('paths that servers read differently are refused', async () => {
+test('paths that servers normalize differently are refused', async () => {
   await withServer(async (port, backend) => {
     const paths = ['/a/../b', '/a//b', '/a/%2e%2e/b', '/a%2fb', '/a\\b', '/a%00', '/./a'];
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       paths.map((path) =>
         rawExchange(
           port,
@@ -93,14 +93,14 @@
       ),
     );
     assert.deepEqual(
-      answers.map(statusOf),
+      responses.map(statusOf),
       paths.map(() => 400),
     );
     assert.equal(backend.calls.length, 0);
   });
 });
 
-test('bodies that are too large, not UTF-8 or not as expected get a clear error', async () => {
+test('bodies that are too large, not UTF-8 or invalid are refused as not run', async () => {
   await withServer(async (port, backend) => {
     const bodies: readonly (string | Buffer)[] = [
       'x'.repeat(5 * 1024 * 1024),
@@ -112,31 +112,31 @@
       '[1,2',
       '',
     ];
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       bodies.map((body) => rawExchange(port, post([auth, lengthOf(body)], body))),
     );
-    assert.deepEqual(answers.map(statusOf), [413, 400, 400, 400, 400, 400, 400, 400]);
-    answers.forEach((answer) => assert.match(answer, /"execution":"not_run"/));
+    assert.deepEqual(responses.map(statusOf), [413, 400, 400, 400, 400, 400, 400, 400]);
+    responses.forEach((response) => assert.match(response, /"execution":"not_run"/));
     assert.equal(backend.completions.length, 0);
   });
 });
 
-test('arbitrary JSON never reaches the backend unchecked and never ends the process', async () => {
+test('arbitrary JSON never reaches the backend unvalidated and never crashes the process', async () => {
   await withServer(async (port, backend) => {
     await fc.assert(
       fc.asyncProperty(fc.json(), async (body) => {
-        const answer = await rawExchange(port, post([auth, lengthOf(body)], body));
-        assert.equal(statusOf(answer), 400);
+        const response = await rawExchange(port, post([auth, lengthOf(body)], body));
+        assert.equal(statusOf(response), 400);
       }),
       { seed: SEED, numRuns: 40 },
     );
     assert.equal(backend.completions.length, 0);
-    const good = await rawExchange(port, post([auth, lengthOf(BODY)], BODY));
-    assert.equal(statusOf(good), 200);
+    const validResponse = await rawExchange(port, post([auth, lengthOf(BODY)], BODY));
+    assert.equal(statusOf(validResponse), 200);
   });
 });
 
-test('arbitrary bytes on the socket leave the server answering', async () => {
+test('the server still responds after arbitrary bytes on its socket', async () => {
   await withServer(async (port) => {
     await fc.assert(
       fc.asyncProperty(fc.uint8Array({ minLength: 1, maxLength: 400 }), async (bytes) => {
@@ -144,7 +144,7 @@
       }),
       { seed: SEED, numRuns: 40 },
     );
-    const good = await rawExchange(port, post([auth, lengthOf(BODY)], BODY));
-    assert.equal(statusOf(good), 200);
+    const validResponse = await rawExchange(port, post([auth, lengthOf(BODY)], BODY));
+    assert.equal(statusOf(validResponse), 200);
   });
 });
--- a/packages/caller/tests/errorsPage.test.ts
+++ b/packages/caller/tests/errorsPage.test.ts
@@ -4,7 +4,7 @@
 import { REFUSAL_STATUS } from '@camphorvane/caller';
 import { REFUSAL_CODES } from '@camphorvane/core';
 
-test('the page of refusals lists every code with its status, and no other', () => {
+test('docs/ERRORS.md lists exactly the refusal codes, each with its status', () => {
   const page = readFileSync(new URL('../../../docs/ERRORS.md', import.meta.url), 'utf8');
   const rows = [...page.matchAll(/^\| `(\w+)` +\| (\d+) +\|/gm)].map((row) => [
     row[1],
--- a/packages/caller/tests/support/FakeBackend.ts
+++ b/packages/caller/tests/support/FakeBackend.ts
@@ -12,13 +12,13 @@
 
 export const TEST_KEY = 'cvk_a_key_for_tests';
 
-/** Answers with fixed tokens, and keeps what reached it. */
+/** Backend that responds with fixed events and records its requests. */
 export class FakeBackend implements CallerBackend {
   readonly completions: CompletionRequest[] = [];
 
   readonly calls: ServiceRequest[] = [];
 
-  /** Number of completions whose caller went before their end. */
+  /** Number of completions whose caller disconnected before their end. */
   gone = 0;
 
   private events: readonly CompletionEvent[] = [
@@ -27,16 +27,16 @@
     { type: 'done', reason: 'stop', promptTokens: 5, cachedTokens: 2, outputTokens: 2 },
   ];
 
-  private hangs = false;
+  private stalls = false;
 
-  /** Sets the events of all later completions. */
+  /** Sets the events of all subsequent completions. */
   answerWith(events: readonly CompletionEvent[]): void {
     this.events = events;
   }
 
-  /** Makes completions wait for their caller to go, after the first event. */
+  /** Makes completions stall after their first event until the caller disconnects. */
   hang(): void {
-    this.hangs = true;
+    this.stalls = true;
   }
 
   newRequestId(): string {
@@ -44,14 +44,14 @@
   }
 
   advise(key: string | undefined): ReturnType<CallerBackend['advise']> {
-    return this.known(key).map(() => ({
+    return this.checkKey(key).map(() => ({
       hosts: [{ host: 'h1', zone: 'z1', address: '127.0.0.1:1' }],
       keepForMs: 10_000,
     }));
   }
 
   models(key: string | undefined): ReturnType<CallerBackend['models']> {
-    return this.known(key).map(() => ['varnish-7b']);
+    return this.checkKey(key).map(() => ['varnish-7b']);
   }
 
   async *complete(
@@ -60,12 +60,12 @@
     signal: AbortSignal,
   ): AsyncGenerator<CompletionEvent> {
     this.completions.push(req);
-    const known = this.known(req.key);
-    if (known.isErr()) {
-      yield { type: 'refused', refusal: known.error };
+    const checked = this.checkKey(req.key);
+    if (checked.isErr()) {
+      yield { type: 'refused', refusal: checked.error };
       return;
     }
-    if (this.hangs) {
+    if (this.stalls) {
       yield* this.events.slice(0, 1);
       await new Promise<void>((resolve) => {
         signal.addEventListener('abort', () => resolve(), { once: true });
@@ -78,7 +78,7 @@
 
   async callService(_id: string, req: ServiceRequest): Promise<Result<ServiceReply, Refusal>> {
     this.calls.push(req);
-    return this.known(req.key).map(() => ({
+    return this.checkKey(req.key).map(() => ({
       status: 200,
       headers: { 'content-type': 'text/plain' },
       body: Buffer.from(`ran ${req.method} ${req.path}`),
@@ -86,9 +86,7 @@
     }));
   }
 
-  private known(key: string | undefined): Result<void, Refusal> {
-    return key === TEST_KEY
-      ? ok(undefined)
-      : err(notRun('unknown_key', 'The key is not in force.'));
+  private checkKey(key: string | undefined): Result<void, Refusal> {
+    return key === TEST_KEY ? ok(undefined) : err(notRun('unknown_key', 'The key is not valid.'));
   }
 }
--- a/packages/caller/tests/support/withServer.ts
+++ b/packages/caller/tests/support/withServer.ts
@@ -3,7 +3,7 @@
 import { connect } from 'node:net';
 import { FakeBackend } from './FakeBackend.ts';
 
-/** Runs a test against a caller server on loopback, and stops it whatever happens. */
+/** Runs a test against a caller server on loopback, and always stops the server. */
 export async function withServer(
   run: (port: number, backend: FakeBackend) => Promise<void>,
 ): Promise<void> {
@@ -17,7 +17,7 @@
   }
 }
 
-/** Sends bytes over a socket of their own, and gets everything that comes back until its end. */
+/** Sends bytes over a new socket, and gets everything received until it closes. */
 export function rawExchange(port: number, text: string | Buffer): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(port, '127.0.0.1');
