--- a/packages/store/tests/lease/StoreLease.test.ts
+++ b/packages/store/tests/lease/StoreLease.test.ts
@@ -13,7 +13,7 @@
   return new StoreLease({ ...options, leaseMs: LEASE_MS });
 }
 
-async function holdWithin(lease: StoreLease, clock: VirtualClock, ms: number): Promise<boolean> {
+async function isHeldWithin(lease: StoreLease, clock: VirtualClock, ms: number): Promise<boolean> {
   const rounds = Array.from({ length: ms / 500 }, (_, i) => i);
   return rounds.reduce(async (before) => {
     if (await before) return true;
@@ -22,7 +22,7 @@
   }, Promise.resolve(false));
 }
 
-test('the first host that asks holds the lease at once, and keeps it', async () => {
+test('the first host acquires the lease at once and keeps it by renewal', async () => {
   const clock = new VirtualClock();
   const lease = leaseOf(new OneObject(), clock, 'a');
   assert.deepEqual(await lease.hold(), { type: 'held', fence: 41 });
@@ -30,7 +30,7 @@
   assert.deepEqual(await lease.hold(), { type: 'held', fence: 42 });
 });
 
-test('a lease that is not renewed ends by itself', async () => {
+test('a lease that is not renewed expires', async () => {
   const clock = new VirtualClock();
   const lease = leaseOf(new OneObject(), clock, 'a');
   await lease.hold();
@@ -39,16 +39,16 @@
   assert.equal(lease.getFence(), undefined);
 });
 
-// The holder is killed right after its write. Another host must be able to act, but not within a lease
-// of the last moment at which the dead one may have acted.
-test('another host takes over, a whole lease after the last one could act', async () => {
+// The holder crashes right after its write. Another host must take over, but not within one lease
+// duration of the last time at which the crashed host may have acted.
+test('another host takes over one lease duration after the previous holder could last act', async () => {
   const store = new OneObject();
   const clock = new VirtualClock();
   const first = leaseOf(store, clock, 'a');
   const second = leaseOf(store, clock, 'b');
   await first.hold();
   let lastActedAt = 0;
-  const watch = (): void => {
+  const recordAction = (): void => {
     if (first.getFence() !== undefined) lastActedAt = clock.now();
   };
   const rounds = Array.from({ length: 40 }, (_, i) => i);
@@ -56,10 +56,10 @@
     const found = await before;
     if (found !== undefined) return found;
     await clock.advance(250);
-    watch();
+    recordAction();
     return (await second.hold()).type === 'held' ? clock.now() : undefined;
   }, Promise.resolve(undefined));
-  assert.ok(heldAt !== undefined, 'nobody holds the lease');
+  assert.ok(heldAt !== undefined, 'no host acquired the lease');
   assert.ok(heldAt - lastActedAt >= LEASE_MS, `${heldAt - lastActedAt} ms apart`);
   assert.ok((second.getFence() ?? 0) > 41);
 });
@@ -77,9 +77,9 @@
   }, Promise.resolve());
 });
 
-// The holder's process is suspended while its renewal is on its way, and another host takes the lease.
-// Its own steady clock says that no time has passed.
-test('a host that was suspended does not act on what it held before', async () => {
+// The holder's process is suspended and another host takes the lease. The holder's monotonic clock
+// does not advance during the suspension, so only the wall clock shows that the lease has expired.
+test('a host that was suspended does not act on its expired lease', async () => {
   const store = new OneObject();
   const real = new VirtualClock();
   const own = new SuspendedClock(real);
@@ -88,13 +88,13 @@
   await real.advance(7_000);
   own.suspendedMs = 7_000;
   assert.equal(first.getFence(), undefined);
-  assert.equal(await holdWithin(leaseOf(store, real, 'b'), real, 20_000), true);
+  assert.equal(await isHeldWithin(leaseOf(store, real, 'b'), real, 20_000), true);
   assert.equal((await first.hold()).type, 'not_held');
 });
 
-// The time of day is set to another value on a machine. The lease must not be acted on until it was
-// renewed, and then holds as before.
-test('a jump of the time of day costs a renewal, not the lease', async () => {
+// The wall clock of the holder's machine is stepped. The lease must not be used until it is renewed,
+// and is then held as before.
+test('a step of the wall clock requires a renewal and does not lose the lease', async () => {
   const store = new OneObject();
   const real = new VirtualClock();
   const own = new SuspendedClock(real);
@@ -105,9 +105,9 @@
   assert.equal((await lease.hold()).type, 'held');
 });
 
-// The answer to a write is lost after the write took effect. The host must not take its own write for
-// another host's.
-test('a write whose answer was lost is taken up by the next one', async () => {
+// The response to a write is lost after the write took effect. The host must recognize the stored
+// write as its own.
+test('a write whose response was lost is recognized by the next call', async () => {
   const store = new OneObject();
   const clock = new VirtualClock();
   const lease = leaseOf(store, clock, 'a');
@@ -117,7 +117,7 @@
   assert.equal((await lease.hold()).type, 'held');
 });
 
-test('while the store is away nobody acts beyond the lease', async () => {
+test('while the store is unavailable no host acts after the lease has expired', async () => {
   const store = new OneObject();
   const clock = new VirtualClock();
   const lease = leaseOf(store, clock, 'a');
@@ -129,18 +129,18 @@
   assert.equal(lease.getFence(), undefined);
 });
 
-test('a new start of the same host goes on at once', async () => {
+test('a new incarnation of the same host renews the lease at once', async () => {
   const store = new OneObject();
   const clock = new VirtualClock();
   await leaseOf(store, clock, 'a', 's1').hold();
   assert.equal((await leaseOf(store, clock, 'a', 's2').hold()).type, 'held');
 });
 
-test('an object that nobody of this program wrote is waited out', async () => {
+test('a lease object with an unknown format is taken over after the lease duration', async () => {
   const store = new OneObject();
   const clock = new VirtualClock();
   store.object = { kind: 'leases', name: 'roles', version: 7, value: 'garbage' };
   const lease = leaseOf(store, clock, 'a');
   assert.equal((await lease.hold()).type, 'not_held');
-  assert.equal(await holdWithin(lease, clock, 20_000), true);
+  assert.equal(await isHeldWithin(lease, clock, 20_000), true);
 });
