--- a/packages/store/src/follow/Deployment.ts
+++ b/packages/store/src/follow/Deployment.ts
@@ -13,27 +13,27 @@
 import type { Result } from 'neverthrow';
 import type { StoredObject } from '../ObjectStore.ts';
 
-/** What the operators say of the engines of a service. */
+/** Properties of a service's engines, as set by the operators. */
 export interface DeployedEngines {
   readonly memoryTokens: Tokens;
   readonly tokenBytes: number;
   readonly linkMbps: number;
-  /** Milliseconds that a change of an engine's role takes; undefined where it can't be changed. */
+  /** Milliseconds that a role change of an engine takes; undefined where roles are fixed. */
   readonly roleSwitchMs: number | undefined;
-  /** Output tokens in one event of a stream; undefined where nothing is said. */
+  /** Output tokens in one event of a stream; undefined where not specified. */
   readonly eventTokens: Tokens | undefined;
 }
 
-/** A service as the operators declare it; its servers announce themselves. */
+/** A service as declared by the operators; its servers register themselves. */
 export interface DeployedService {
   readonly id: ServiceId;
   /** Undefined for a plain service. */
   readonly engines: DeployedEngines | undefined;
-  /** Undefined where its servers take their full load from their start on. */
+  /** Undefined where a new server gets its full load at once. */
   readonly slowStart: SlowStartBounds | undefined;
 }
 
-/** A configuration that names no servers. */
+/** A configuration without the servers, which register themselves. */
 export interface DeployedConfig {
   /** Grows with each change. */
   readonly version: number;
@@ -43,38 +43,38 @@
   readonly limits: CallerLimits;
 }
 
-/** A server as it announces itself. */
+/** A server as it registers itself. */
 export interface ServerRecord {
   readonly id: UpstreamId;
   readonly service: ServiceId;
   /** `ip:port`. */
   readonly address: string;
   readonly zone: ZoneId;
-  /** Requests that it runs at once. */
+  /** Number of requests that it runs concurrently. */
   readonly slots: number;
-  /** True once it must get no new work. */
+  /** True once the server must get no new requests. */
   readonly leaving: boolean;
   /** Undefined for a server of a plain service. */
   readonly role: EngineRole | undefined;
-  /** Milliseconds of its slow start that were left when it wrote this; undefined where it does not say. */
+  /** Milliseconds of its slow start that remained when it wrote the record; undefined where not specified. */
   readonly startingMs: Millis | undefined;
 }
 
-/** Where a deployment keeps its objects, and how they read. */
+/** Where a deployment stores its objects, and how to parse them. */
 export interface DeploymentFormat {
   readonly configKind: string;
   readonly configName: string;
   readonly serverKind: string;
-  /** Kind of the entries that each take an availability zone's servers out of use, by its name. */
+  /** Kind of the objects that each drain the availability zone of the same name. */
   readonly drainedZoneKind: string;
-  /** Kind of the records that this program's own hosts write. */
+  /** Kind of the records that the router's hosts write. */
   readonly hostKind: string;
-  /** Kind of the leases by which one of them acts for all. */
+  /** Kind of the leases that elect one host to act for all. */
   readonly leaseKind: string;
 
-  /** Reads the configuration, or says what is wrong with it. */
+  /** Parses the configuration, or gets what is wrong with it. */
   readConfig(object: StoredObject): Result<DeployedConfig, string>;
 
-  /** Reads a server; undefined for an entry that names none to use. */
+  /** Parses a server record; undefined for an object that describes no usable server. */
   readServer(object: StoredObject): ServerRecord | undefined;
 }
--- a/packages/store/src/follow/KindFollower.ts
+++ b/packages/store/src/follow/KindFollower.ts
@@ -4,61 +4,61 @@
 import type { ObjectVersion, StoredObject, WatchEvent } from '../ObjectStore.ts';
 import type { WatchableStore } from './WatchableStore.ts';
 
-/** What a follower shows of a kind after each round. */
+/** The local copy of a kind after a successful read or watch. */
 export interface FollowedKind {
   readonly objects: ReadonlyMap<string, StoredObject>;
-  /** Milliseconds for which the store gave no answer before this one; 0 in steady state. */
+  /** Milliseconds for which the store was unavailable before this response; 0 in steady state. */
   readonly awayMs: Millis;
 }
 
 /**
- * How a follower learns of changes: by a watch, which ends with each change, or by cheap reads that
- * may be a little old. A fleet has a few hosts that watch, and tell the others what is newest.
+ * How a follower detects changes: by a watch, which returns with each change, or by polling with
+ * cheap, possibly stale reads. A few hosts of a fleet watch and gossip the newest version to the rest.
  */
 export type FollowMode = 'watch' | 'poll';
 
-/** What a follower is made of. */
+/** Settings of {@link KindFollower}. */
 export interface KindFollowerOptions {
   readonly store: WatchableStore;
   readonly kind: string;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Longest wait of one watch, in milliseconds. */
+  /** Maximum duration of one watch, in milliseconds. */
   readonly watchMs: Millis;
-  /** Gets how to follow now; a watch where it is absent. */
+  /** Gets the current mode; `watch` where absent. */
   readonly mode?: () => FollowMode;
-  /** Gets the milliseconds between two cheap reads where nobody says that there is something newer. */
+  /** Gets the poll interval in milliseconds while no peer reports a newer version. */
   readonly pollMs?: () => Millis;
-  /** Called after each round in which the store answered. */
+  /** Called after each successful read or watch. */
   readonly onRound: (kind: FollowedKind) => void;
-  /** Called when the store is lost, with why, and when it is back. */
+  /** Called when the store becomes unavailable, with the reason, and when it is available again. */
   readonly onStore?: (state: 'lost' | 'regained', reason: string) => void;
 }
 
-/** Milliseconds between two cheap reads of a host that nobody tells of changes. */
+/** Poll interval in milliseconds of a host that gets no versions from peers. */
 export const LEAST_POLL_MS: Millis = 2_000;
 
-/** Milliseconds between two cheap reads while what is known to be newer is not in them. */
+/** Milliseconds between two cheap reads while they lag behind a version that a peer reported. */
 const CATCH_UP_MS: Millis = 200;
 
-/** Cheap reads, which may lag, after which what is known to be newer is read at its full price. */
-const CHEAP_TRIES = 4;
+/** Cheap catch-up reads that may return a stale copy before a consistent read is made. */
+const MAX_CHEAP_ATTEMPTS = 4;
 
 /**
- * Milliseconds that a watch is given to show what a peer knows already. After that its connection is
- * taken to have gone silent, and everything is read anew over another one.
+ * Milliseconds within which a watch must report a change that a peer has reported. After that its
+ * connection counts as dead, and a new snapshot is read over another connection.
  */
 const WATCH_LAG_MS: Millis = 250;
 
-/** Retries while the store is away, in milliseconds: soon, since changes must be in force soon. */
+/** Retry delays in milliseconds while the store is unavailable; short, so that changes take effect soon. */
 const RETRY = { baseMs: 100, maxMs: 500 };
 
 /**
- * Keeps a copy of all objects of a kind: a snapshot, then watches from its version on.
+ * Keeps a local copy of all objects of a kind: reads a snapshot, then watches from its version on.
  *
- * A watch can be cut, can lose its history, or can go silent for good; each ends within the wait and
- * the deadline of a call, and a new snapshot then shows what was missed. Old answers that arrive late
- * never replace newer objects, since an object's version only grows.
+ * A watch can be cut, lose its history or stop responding; each ends within the wait and the timeout
+ * of a call, and a new snapshot then contains the missed changes. Stale responses that arrive late
+ * never replace newer objects, since an object's version only increases.
  */
 export class KindFollower {
   private readonly options: KindFollowerOptions;
@@ -67,27 +67,28 @@
 
   private objects: ReadonlyMap<string, StoredObject> = new Map();
 
-  /** Where the next watch goes on; undefined where a snapshot is needed. */
+  /** Version from which the next watch continues; undefined where a snapshot is needed. */
   private after: ObjectVersion | undefined;
 
+  /** When the store last responded, on the monotonic clock. */
   private answeredAt: Millis;
 
-  private isLost = false;
+  private isUnavailable = false;
 
-  /** Whether the store was asked for everything before. */
+  /** Whether a snapshot was requested before. */
   private hasRead = false;
 
-  /** Version of the store at the last change of this kind that is known here. */
+  /** Version of the last known change of this kind. */
   private changedAt: ObjectVersion = 0;
 
-  /** Highest version of a change that a peer has named. */
-  private named: ObjectVersion = 0;
+  /** Highest version of a change that a peer has reported. */
+  private reportedVersion: ObjectVersion = 0;
 
   private wake: () => void = () => undefined;
 
   private readonly pause: InterruptibleSleep;
 
-  /** @param options - The store, the kind, and who is told. */
+  /** @param options - The store, the kind and the callbacks. */
   constructor(options: KindFollowerOptions) {
     this.options = options;
     this.backoff = new Backoff(options.random, RETRY);
@@ -95,49 +96,49 @@
     this.answeredAt = options.clock.now();
   }
 
-  /** Gets when the store last answered, on the host's clock. */
+  /** Gets when the store last responded, on the host's monotonic clock. */
   getAnsweredAt(): Millis {
     return this.answeredAt;
   }
 
-  /** Gets the version of the store up to which changes are known; 0 before the first answer. */
+  /** Gets the store version up to which the copy is complete; 0 before the first response. */
   getVersion(): ObjectVersion {
     return this.after ?? 0;
   }
 
-  /** Gets the version of the store at the last change of this kind; 0 before the first answer. */
+  /** Gets the version of the last known change of this kind; 0 before the first response. */
   getChangedAt(): ObjectVersion {
     return this.changedAt;
   }
 
-  /** Takes in that a peer knows of a change; one that is newer than this copy is read soon. */
+  /** Records a version that a peer reported; one that is newer than this copy is fetched soon. */
   noteNewer(version: ObjectVersion): void {
-    if (version <= this.named) return;
-    this.named = version;
+    if (version <= this.reportedVersion) return;
+    this.reportedVersion = version;
     if (version > this.getVersion()) this.wake();
   }
 
-  /** Follows until stopped. */
+  /** Follows the kind until the signal is aborted. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const problem = await this.step(signal);
+      const problem = await this.followOnce(signal);
       if (problem !== undefined && !signal.aborted) {
         this.after = undefined;
-        this.noteLost(problem);
+        this.recordOutage(problem);
         await sleep(this.options.clock, this.backoff.next(), signal);
       }
     }
   }
 
-  private step(signal: AbortSignal): Promise<string | undefined> {
+  private followOnce(signal: AbortSignal): Promise<string | undefined> {
     if (this.after === undefined) return this.readAll(this.isFirstRead() ? 'any' : 'newest');
     const mode = this.options.mode?.() ?? 'watch';
     return mode === 'watch' ? this.wait(this.after, signal) : this.poll(signal);
   }
 
   /**
-   * An old answer is good enough to begin with: the watch or the poll after it goes on from its version.
-   * After a failure it is not, since it could be older than what this host has acted on.
+   * The first read may be stale: the watch or the poll after it continues from its version. A read
+   * after a failure may not, since it could be older than the state this host has acted on.
    */
   private isFirstRead(): boolean {
     const isFirst = !this.hasRead;
@@ -145,21 +146,21 @@
     return isFirst;
   }
 
-  /** Waits for a hint of a peer or for the next cheap read, and catches up. */
+  /** Waits for the poll interval or a version reported by a peer, then reads until caught up. */
   private async poll(signal: AbortSignal): Promise<string | undefined> {
     this.wake = () => this.pause.interrupt();
     await this.pause.wait(this.options.pollMs?.() ?? LEAST_POLL_MS, signal);
-    let tries = 0;
+    let attempts = 0;
     let problem = await this.readAll('any');
-    while (problem === undefined && this.named > this.getVersion() && !signal.aborted) {
-      tries += 1;
+    while (problem === undefined && this.reportedVersion > this.getVersion() && !signal.aborted) {
+      attempts += 1;
       await sleep(this.options.clock, CATCH_UP_MS, signal);
-      problem = await this.readAll(tries > CHEAP_TRIES ? 'newest' : 'any');
+      problem = await this.readAll(attempts > MAX_CHEAP_ATTEMPTS ? 'newest' : 'any');
     }
     return problem;
   }
 
-  /** Reads everything; gets why that failed. An answer that is older than this copy changes nothing. */
+  /** Reads a snapshot, ignored where older than this copy; gets the reason of a failure. */
   private async readAll(freshness: 'newest' | 'any'): Promise<string | undefined> {
     const snapshot = await this.options.store.snapshot(this.options.kind, freshness);
     if (snapshot.isErr()) return describe(snapshot.error);
@@ -168,21 +169,21 @@
     this.after = snapshot.value.version;
     const versions = snapshot.value.objects.map((object) => object.version);
     this.changedAt = versions.reduce((a, b) => Math.max(a, b), this.changedAt);
-    this.noteRound();
+    this.recordResponse();
     return undefined;
   }
 
-  /** Waits for changes; gets why that failed. A history that is gone is read anew at once. */
+  /** Watches for changes; gets the reason of a failure. Lost history leads to a new snapshot at once. */
   private async wait(after: ObjectVersion, signal: AbortSignal): Promise<string | undefined> {
     const { store, kind, watchMs } = this.options;
-    const overtaken = new AbortController();
-    this.wake = () => this.giveUpLater(overtaken);
-    // What a peer named while no watch waited is not told again.
-    if (this.named > after) this.wake();
-    const either = AbortSignal.any([signal, overtaken.signal]);
-    const batch = await store.watch(kind, after, watchMs, either);
+    const superseded = new AbortController();
+    this.wake = () => this.abortIfBehind(superseded);
+    // A version that a peer reported between two watches is not reported again.
+    if (this.reportedVersion > after) this.wake();
+    const stopOrSuperseded = AbortSignal.any([signal, superseded.signal]);
+    const batch = await store.watch(kind, after, watchMs, stopOrSuperseded);
     this.wake = () => undefined;
-    if (overtaken.signal.aborted) {
+    if (superseded.signal.aborted) {
       this.after = undefined;
       return undefined;
     }
@@ -194,33 +195,34 @@
     this.objects = events.reduce(applyEvent, this.objects);
     this.after = Math.max(after, next);
     if (events.length > 0) this.changedAt = this.after;
-    this.noteRound();
+    this.recordResponse();
     return undefined;
   }
 
   /**
-   * A watch can go silent for good while new connections work. A peer that knows of a newer change is
-   * a sign of it long before the watch's own deadline.
+   * The connection of a watch can die while new connections work. A newer version reported by a peer
+   * shows this long before the watch times out.
    */
-  private giveUpLater(overtaken: AbortController): void {
+  private abortIfBehind(superseded: AbortController): void {
     this.options.clock.after(WATCH_LAG_MS, () => {
-      if (this.named > this.getVersion()) overtaken.abort();
+      if (this.reportedVersion > this.getVersion()) superseded.abort();
     });
   }
 
-  private noteRound(): void {
+  private recordResponse(): void {
     const now = this.options.clock.now();
-    const awayMs = this.isLost ? now - this.answeredAt : 0;
+    const awayMs = this.isUnavailable ? now - this.answeredAt : 0;
     this.answeredAt = now;
     this.backoff.reset();
-    if (this.isLost) this.options.onStore?.('regained', `away for ${Math.round(awayMs)} ms`);
-    this.isLost = false;
+    if (this.isUnavailable)
+      this.options.onStore?.('regained', `unavailable for ${Math.round(awayMs)} ms`);
+    this.isUnavailable = false;
     this.options.onRound({ objects: this.objects, awayMs });
   }
 
-  private noteLost(reason: string): void {
-    if (this.isLost) return;
-    this.isLost = true;
+  private recordOutage(reason: string): void {
+    if (this.isUnavailable) return;
+    this.isUnavailable = true;
     this.options.onStore?.('lost', reason);
   }
 }
--- a/packages/store/src/follow/OwnRecord.ts
+++ b/packages/store/src/follow/OwnRecord.ts
@@ -1,14 +1,14 @@
 import type { PlatformError, ObjectVersion } from '../ObjectStore.ts';
 import type { WatchableStore } from './WatchableStore.ts';
 
-/** One object that a single host writes, under its own name. */
+/** An object that only one host writes, under the host's own name. */
 export class OwnRecord {
   private version: ObjectVersion | undefined;
 
   /**
-   * @param store - Where the object is.
-   * @param kind - Its kind.
-   * @param name - Its name.
+   * @param store - The store of the object.
+   * @param kind - The object's kind.
+   * @param name - The object's name.
    */
   constructor(
     private readonly store: WatchableStore,
@@ -17,28 +17,28 @@
   ) {}
 
   /**
-   * Writes the object over whatever is there.
+   * Writes the object, whatever its stored version.
    *
-   * The answer to a write can be lost after it took effect, and an earlier start of this host may
-   * have written the object. Both show as a conflict that carries the present version, so the write
-   * is sent once more with that.
+   * The response to an earlier write may have been lost after the write took effect, or an earlier
+   * incarnation of this host may have written the object. Both appear as a conflict that carries the
+   * current version, with which the write is retried once.
    *
-   * @param value - What to write.
-   * @returns Why it was not written, if it was not.
+   * @param value - The value to write.
+   * @returns The error, or undefined once the object is written.
    */
   async write(value: unknown): Promise<PlatformError | undefined> {
-    const first = await this.tryWrite(value);
-    return first?.type === 'conflict' ? this.tryWrite(value) : first;
+    const first = await this.writeOnce(value);
+    return first?.type === 'conflict' ? this.writeOnce(value) : first;
   }
 
-  /** Removes the object; one that is gone already counts as removed. */
+  /** Removes the object; succeeds where it does not exist. */
   async remove(): Promise<void> {
     if (this.version === undefined) return;
     await this.store.remove(this.kind, this.name, this.version);
     this.version = undefined;
   }
 
-  private async tryWrite(value: unknown): Promise<PlatformError | undefined> {
+  private async writeOnce(value: unknown): Promise<PlatformError | undefined> {
     const { store, kind, name } = this;
     const result = await store.put(kind, name, value, this.version ?? 'absent');
     if (result.isOk()) {
--- a/packages/store/tests/follow/KindFollower.test.ts
+++ b/packages/store/tests/follow/KindFollower.test.ts
@@ -16,8 +16,11 @@
 
 const object = (name: string, version: number) => ({ kind: 'k', name, version, value: name });
 
-/** A store that answers as a list says, call by call, and then keeps watches waiting. */
-function scripted(steps: Step[]): { readonly store: WatchableStore; readonly calls: string[] } {
+/** A store that responds to each call by the next step of a list; further watches never return. */
+function scriptedStore(steps: Step[]): {
+  readonly store: WatchableStore;
+  readonly calls: string[];
+} {
   const calls: string[] = [];
   const hang = new ResultAsync<WatchBatch, PlatformError>(
     new Promise<Result<WatchBatch, PlatformError>>(() => {}),
@@ -68,7 +71,7 @@
   readonly calls: readonly string[];
   readonly states: readonly string[];
 }> {
-  const { store, calls } = scripted(steps);
+  const { store, calls } = scriptedStore(steps);
   const clock = new VirtualClock();
   const rounds: FollowedKind[] = [];
   const states: string[] = [];
@@ -92,7 +95,7 @@
   ...(round?.objects.keys() ?? []),
 ];
 
-test('changes are applied from the snapshot on', async () => {
+test('changes after the snapshot are applied', async () => {
   const { rounds, calls } = await follow([
     { type: 'snapshot', names: ['a', 'b'], version: 5 },
     { type: 'watch', put: 'c', gone: 'a', next: 7 },
@@ -101,9 +104,9 @@
   assert.deepEqual(calls, ['cheap snapshot', 'watch 5', 'watch 7']);
 });
 
-// The store drops its history while a server leaves. A follower that went on with its old copy would
-// send requests to that server for as long as nothing else changes.
-test('a history that is gone is made up for by a new snapshot at once', async () => {
+// The store drops its history while a server leaves. A follower that kept its stale copy would send
+// requests to that server until the next change.
+test('lost history leads to a new snapshot at once', async () => {
   const { rounds, states } = await follow([
     { type: 'snapshot', names: ['a', 'b'], version: 5 },
     { type: 'fail', error: { type: 'invalid', message: 'the store answered 410' } },
@@ -114,7 +117,7 @@
   assert.deepEqual(states, []);
 });
 
-test('an outage is told, with its length, and ends with a snapshot', async () => {
+test('an outage is reported with its duration and ends with a snapshot', async () => {
   const { rounds, states } = await follow([
     { type: 'snapshot', names: ['a'], version: 5 },
     { type: 'fail', error: AWAY },
@@ -125,10 +128,10 @@
   assert.ok((rounds.at(-1)?.awayMs ?? 0) > 0);
 });
 
-// The connection of a watch goes silent while a server leaves. A peer whose watch works has heard of
-// it, and says so; waiting for the watch's own deadline would send requests to that server meanwhile.
-test('a watch that shows less than a peer knows is given up for a new snapshot', async () => {
-  const { store } = scripted([
+// The connection of a watch dies while a server leaves. A peer whose watch works reports the newer
+// version; waiting for the watch to time out would send requests to that server meanwhile.
+test('a watch that lags behind a version reported by a peer is replaced by a new snapshot', async () => {
+  const { store } = scriptedStore([
     { type: 'snapshot', names: ['a', 'b'], version: 5 },
     { type: 'hang' },
     { type: 'snapshot', names: ['b'], version: 9 },
@@ -153,11 +156,11 @@
   assert.deepEqual(namesOf(rounds.at(-1)), ['b']);
 });
 
-// A peer names a change between two watches, and the connection of the next one has gone silent. The
-// same word comes again several times a second, but a word that is known already is no news: requests
-// would go to a server that leaves until the watch's own deadline.
-test('what a peer named between two watches counts for the next one', async () => {
-  const { store } = scripted([
+// A peer reports a version between two watches, and the connection of the next watch is dead. The peer
+// repeats the version several times a second, but a known version triggers nothing: requests would go
+// to a leaving server until the watch times out.
+test('a version reported between two watches applies to the next watch', async () => {
+  const { store } = scriptedStore([
     { type: 'snapshot', names: ['a', 'b'], version: 5 },
     { type: 'hang' },
     { type: 'snapshot', names: ['b'], version: 9 },
@@ -182,8 +185,8 @@
   assert.deepEqual(namesOf(rounds.at(-1)), ['b']);
 });
 
-// Guards against a host that goes back to what an old answer of the store shows after an outage.
-test('the first read may be old, and one after a failure may not', async () => {
+// Guards against a host that reverts to a stale response of the store after an outage.
+test('the first read may be stale, a read after a failure may not', async () => {
   const { calls } = await follow([
     { type: 'snapshot', names: ['a'], version: 5 },
     { type: 'fail', error: AWAY },
@@ -192,11 +195,11 @@
   assert.deepEqual(calls, ['cheap snapshot', 'watch 5', 'snapshot', 'watch 6']);
 });
 
-// Guards against hundreds of hosts that each read everything every two seconds although a relay tells
-// them of changes.
-test('a host that is told of changes reads at the pace that it is given, and at once on news', async () => {
+// Guards against hundreds of hosts that each read a snapshot every two seconds although peers report
+// changes to them.
+test('a polling host reads at its poll interval, and at once when a peer reports a newer version', async () => {
   const steps = [5, 5, 9].map((version): Step => ({ type: 'snapshot', names: ['a'], version }));
-  const { store, calls } = scripted(steps);
+  const { store, calls } = scriptedStore(steps);
   const clock = new VirtualClock();
   const stop = new AbortController();
   const follower = new KindFollower({
--- a/packages/store/tests/follow/OwnRecord.test.ts
+++ b/packages/store/tests/follow/OwnRecord.test.ts
@@ -9,30 +9,30 @@
   return new MemoryObjectStore(new SystemClock()) as unknown as MemoryObjectStore & WatchableStore;
 }
 
-// A host starts again under its name, and finds the record of its earlier start. It must take it
-// over, or its peers would go on with an address where nobody listens.
-test('a new start writes over what an earlier one left', async () => {
-  const all = store();
-  assert.equal(await new OwnRecord(all, 'hosts', 'a').write({ start: 1 }), undefined);
-  const second = new OwnRecord(all, 'hosts', 'a');
+// A restarted host finds the record of its earlier incarnation. It must overwrite it, or its peers
+// would keep using an address on which no process listens.
+test('a new incarnation overwrites the record of an earlier one', async () => {
+  const objects = store();
+  assert.equal(await new OwnRecord(objects, 'hosts', 'a').write({ start: 1 }), undefined);
+  const second = new OwnRecord(objects, 'hosts', 'a');
   assert.equal(await second.write({ start: 2 }), undefined);
   assert.equal(await second.write({ start: 3 }), undefined);
-  const stored = await all.get('hosts', 'a');
+  const stored = await objects.get('hosts', 'a');
   assert.deepEqual(stored._unsafeUnwrap()?.value, { start: 3 });
 });
 
-test('a record that could not be written says why', async () => {
-  const all = store();
-  all.setFaults({ down: true });
-  const problem = await new OwnRecord(all, 'hosts', 'a').write({});
+test('a failed write returns the error', async () => {
+  const objects = store();
+  objects.setFaults({ down: true });
+  const problem = await new OwnRecord(objects, 'hosts', 'a').write({});
   assert.equal(problem?.type, 'unavailable');
 });
 
-test('removing twice does no harm', async () => {
-  const all = store();
-  const record = new OwnRecord(all, 'hosts', 'a');
+test('removing a record twice succeeds', async () => {
+  const objects = store();
+  const record = new OwnRecord(objects, 'hosts', 'a');
   await record.write({});
   await record.remove();
   await record.remove();
-  assert.equal((await all.get('hosts', 'a'))._unsafeUnwrap(), undefined);
+  assert.equal((await objects.get('hosts', 'a'))._unsafeUnwrap(), undefined);
 });
