--- a/packages/store/src/claims/ClaimSettler.ts
+++ b/packages/store/src/claims/ClaimSettler.ts
@@ -8,17 +8,18 @@
 const RETRY: { readonly baseMs: Millis; readonly maxMs: Millis } = { baseMs: 250, maxMs: 5000 };
 
 /**
- * Checks for a claim whose write was not answered. The write can be carried out after the host gave
- * up on it, even after another write of the same claim was answered and the claim removed; it would
- * then bar the caller's key though nothing runs. The checks go on for some twenty seconds.
+ * Reads without the claim after which a claim whose write got no response counts as released. The
+ * write can take effect after its timeout, even after another write of the claim succeeded and the
+ * claim was removed, and would then block the caller's key though nothing runs. The checks span some
+ * twenty seconds.
  */
 const RELEASE_CHECKS = 8;
 
 /**
- * Brings claims to their end in the platform, for as long as that takes.
+ * Stores the outcome of claims, or removes them, with retries until that succeeds.
  *
- * The caller does not wait for it. While the platform is down no new claims are given, so what waits
- * here is bounded by the calls that were running when the outage began.
+ * Callers do not wait for it. While the platform is down no new claims are granted, so the backlog is
+ * bounded by the calls that were running when the outage began.
  */
 export class ClaimSettler {
   private readonly store: ObjectStore;
@@ -33,44 +34,44 @@
 
   /**
    * @param store - The platform.
-   * @param clock - The time of retries.
-   * @param random - The spread of retries.
+   * @param clock - Times the retries.
+   * @param random - Adds jitter to the retries.
    */
   constructor(store: ObjectStore, clock: Clock, random: RandomSource) {
     this.store = store;
     this.clock = clock;
     this.random = random;
-    // Each claim that is being settled listens for the stop; their number is bounded as said above.
+    // Each pending claim adds a listener; their number is bounded as described above.
     setMaxListeners(0, this.stopped.signal);
   }
 
-  /** Gets the number of claims whose end is not stored yet. */
+  /** Gets the number of claims whose outcome or removal is not stored yet. */
   getPending(): number {
     return this.tasks.size;
   }
 
-  /** Waits until every end is stored, or until {@link stop}. */
+  /** Waits until nothing is pending, or until {@link stop}. */
   async drained(): Promise<void> {
     await Promise.all(this.tasks);
   }
 
-  /** Gives up what is left; those claims stay as they are and count as unknown. */
+  /** Stops the retries; the pending claims remain stored and their outcome is unknown. */
   async stop(): Promise<void> {
     this.stopped.abort();
     await this.drained();
   }
 
-  /** Stores that a call has run. */
+  /** Stores the outcome of a claimed call. */
   finish(claim: Claim, record: ClaimRecord): Promise<void> {
     return this.track(this.storeFinished(claim, record));
   }
 
-  /** Removes a claim that is known to be stored. */
+  /** Removes a claim whose write succeeded. */
   remove(claim: Claim): Promise<void> {
     return this.track(this.removeStored(claim.name, claim.version));
   }
 
-  /** Removes a claim that may not be stored, or may be stored yet by a write without an answer. */
+  /** Removes a claim whose write got no response and may have taken effect, or may yet do so. */
   release(name: string, attempt: string): Promise<void> {
     return this.track(this.removeIfFound(name, attempt));
   }
@@ -81,7 +82,7 @@
     return task;
   }
 
-  /** A conflict means that the record is there already (its answer was lost) or was removed. */
+  /** A conflict means that the record is stored already (its response was lost) or was removed. */
   private storeFinished(claim: Claim, record: ClaimRecord): Promise<void> {
     return this.retry(async () => {
       const put = await this.store.put(CLAIM_KIND, claim.name, record, claim.version);
@@ -97,13 +98,13 @@
   }
 
   private removeIfFound(name: string, attempt: string): Promise<void> {
-    let clean = 0;
+    let readsWithoutClaim = 0;
     return this.retry(async () => {
       const found = await this.store.get(CLAIM_KIND, name);
       if (found.isErr()) return false;
       if (readRecord(found.value?.value)?.attempt !== attempt) {
-        clean += 1;
-        return clean >= RELEASE_CHECKS;
+        readsWithoutClaim += 1;
+        return readsWithoutClaim >= RELEASE_CHECKS;
       }
       await this.removeStored(name, found.value!.version);
       return false;
@@ -118,7 +119,7 @@
   }
 }
 
-/** Gets the record that a claim was stored with. */
+/** Gets the record with which a claim was stored. */
 export function recordOf(claim: Claim): ClaimRecord {
   return newRecord(claim.request, claim.claimedAt);
 }
--- a/packages/store/src/claims/ClaimSweeper.ts
+++ b/packages/store/src/claims/ClaimSweeper.ts
@@ -4,30 +4,32 @@
 
 /** Settings of {@link ClaimSweeper}. */
 export interface ClaimSweeperOptions {
-  /** The platform, counted against the host's budget as `status`. */
+  /** The platform; its calls count against the host's budget with priority `status`. */
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** How long a finished call is remembered, in milliseconds. */
+  /** How long a finished claim is kept, in milliseconds. */
   readonly retentionMs: Millis;
 }
 
-/** Mean time between two sweeps of a host, in milliseconds; each takes one read and its removals. */
+/** Mean interval between two sweeps of a host, in milliseconds; each makes one read and its removals. */
 const SWEEP_MS: Millis = 60_000;
 
-/** Digits of the prefix that one sweep looks at, so that a list stays small however many there are. */
-const MIN_DIGITS = 1;
-const MAX_DIGITS = 6;
+/** Minimum length of the name prefix that one sweep lists, in hexadecimal digits. */
+const MIN_PREFIX_LENGTH = 1;
 
-/** Claims in one list below which the next sweep looks at more of them. */
-const FEW = 16;
+/** Maximum length of that prefix; it adapts so that a list stays small however many claims exist. */
+const MAX_PREFIX_LENGTH = 6;
 
-/** Claims in one list above which the next sweep looks at fewer of them. */
-const MANY = 256;
+/** Claims in one list below which the next sweep uses a shorter prefix. */
+const FEW_CLAIMS = 16;
+
+/** Claims in one list above which the next sweep uses a longer prefix. */
+const MANY_CLAIMS = 256;
 
 const HEX = 16;
 
-/** Removes finished calls that need not be remembered any more, a random few at a time. */
+/** Removes expired claims of finished calls, one random name prefix at a time. */
 export class ClaimSweeper {
   private readonly options: ClaimSweeperOptions;
 
@@ -35,33 +37,33 @@
 
   private task: Promise<void> = Promise.resolve();
 
-  private digits = MAX_DIGITS;
+  private prefixLength = MAX_PREFIX_LENGTH;
 
-  /** @param options - The platform, the time and the retention. */
+  /** @param options - The platform, the clock and the retention. */
   constructor(options: ClaimSweeperOptions) {
     this.options = options;
   }
 
-  /** Starts the task; it runs until {@link stop}. */
+  /** Starts periodic sweeps until {@link stop}. */
   start(): void {
     this.task = this.run();
   }
 
-  /** Stops the task and waits for its end. */
+  /** Stops the sweeps and waits for the current one to end. */
   async stop(): Promise<void> {
     this.stopped.abort();
     await this.task;
   }
 
   /**
-   * Looks at the claims of one random prefix.
+   * Removes the expired claims of one random prefix.
    *
-   * @returns How many it removed.
+   * @returns The number of claims removed.
    */
   async sweep(): Promise<number> {
     const found = await this.options.store.list(CLAIM_KIND, this.prefix());
     if (found.isErr()) return 0;
-    this.adapt(found.value.length);
+    this.adaptPrefixLength(found.value.length);
     return this.removeAll(found.value.filter((object) => this.isExpired(object)));
   }
 
@@ -74,16 +76,16 @@
   }
 
   private prefix(): string {
-    const number = this.options.random.int(0, HEX ** this.digits - 1);
-    return number.toString(HEX).padStart(this.digits, '0');
+    const number = this.options.random.int(0, HEX ** this.prefixLength - 1);
+    return number.toString(HEX).padStart(this.prefixLength, '0');
   }
 
-  private adapt(found: number): void {
-    if (found < FEW) this.digits = Math.max(MIN_DIGITS, this.digits - 1);
-    if (found > MANY) this.digits = Math.min(MAX_DIGITS, this.digits + 1);
+  private adaptPrefixLength(found: number): void {
+    if (found < FEW_CLAIMS) this.prefixLength = Math.max(MIN_PREFIX_LENGTH, this.prefixLength - 1);
+    if (found > MANY_CLAIMS) this.prefixLength = Math.min(MAX_PREFIX_LENGTH, this.prefixLength + 1);
   }
 
-  /** Stops at the first failure: what is left is found again by a later sweep. */
+  /** Stops at the first failure; a later sweep finds the remaining claims again. */
   private async removeAll(objects: readonly StoredObject[]): Promise<number> {
     let removed = 0;
     while (removed < objects.length) {
@@ -95,7 +97,7 @@
     return removed;
   }
 
-  /** A call that may be running, or whose outcome is unknown, is never forgotten. */
+  /** Claims of calls that may be running, or whose outcome is unknown, never expire. */
   private isExpired(object: StoredObject): boolean {
     const record = readRecord(object.value);
     if (record?.state !== 'finished') return false;
--- a/packages/store/src/claims/IdempotencyClaims.ts
+++ b/packages/store/src/claims/IdempotencyClaims.ts
@@ -23,79 +23,79 @@
 
 /** Settings of {@link IdempotencyClaims}. */
 export interface IdempotencyClaimsOptions {
-  /** The platform, counted against the host's budget as `claims`. */
+  /** The platform; its calls count against the host's budget with priority `claims`. */
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** Tells what is known of the host that holds a claim; `unknown` unless given. */
+  /** Gets the known state of the host that holds a claim; `unknown` where absent. */
   readonly holderState?: (host: HostId, incarnation: Incarnation) => HolderState;
-  /** How long a finished call is remembered, in milliseconds. */
+  /** How long a finished claim is kept, in milliseconds. */
   readonly retentionMs?: Millis;
-  /** Longest time that a caller waits for its claim, in milliseconds. */
+  /** Maximum time that a caller waits for its claim, in milliseconds. */
   readonly deadlineMs?: Millis;
 }
 
 /**
- * A finished call is remembered for a day: callers send again within minutes, and a day's claims at
- * the rate that the platform allows stay some millions of small objects.
+ * Default retention of finished claims in milliseconds, one day: callers retry within minutes, and at
+ * the platform's write rate the claims of a day stay at some millions of small objects.
  */
 export const DEFAULT_RETENTION_MS: Millis = 86_400_000;
 
-/** A caller with a truck waiting is better served by a refusal that it may act on. */
+/** Default claim timeout in milliseconds; an early refusal lets a waiting caller act on it. */
 const DEFAULT_DEADLINE_MS = 4000;
 
-/** Wait between a call that failed and the next one, in milliseconds. */
-const PAUSE_MS = 100;
+/** Delay between two attempts to write a claim, in milliseconds. */
+const RETRY_DELAY_MS = 100;
 
-/** Told to callers while the platform does not answer, in milliseconds. */
+/** Retry delay sent to callers while the platform is unavailable, in milliseconds. */
 const RETRY_AFTER_MS = 2000;
 
 interface OpenClaim {
   readonly record: ClaimRecord;
 }
 
-/** What one call to the platform settled; undefined where its answer may have been lost. */
-type Settled = ClaimOutcome | undefined;
+/** Outcome after one call to the platform; undefined where the claim has to be tried again. */
+type CallOutcome = ClaimOutcome | undefined;
 
 /**
- * Claims of calls that must run at most once.
+ * Grants claims for calls that must run at most once.
  *
- * A claim is an object that is created before dispatch on condition that there is none. Whoever
- * created it may dispatch, once; whoever finds it may not, whatever became of its holder. It is never
- * taken over: nobody can tell whether a holder that is gone had dispatched.
+ * A claim is an object that is created before dispatch, conditional on its absence. Its creator may
+ * dispatch the call once; any attempt that finds it may not, even when its holder is gone. A claim is
+ * never taken over, since it is unknown whether a lost holder had dispatched the call.
  */
 export class IdempotencyClaims {
   private readonly options: IdempotencyClaimsOptions;
 
   private readonly settler: ClaimSettler;
 
-  /** Attempts of which a write got no answer. */
+  /** Attempts with a write that got no response. */
   private readonly unanswered = new Set<AttemptId>();
 
-  /** Attempts that gave up and whose claims may still be stored. */
+  /** Attempts that timed out and whose claims may still be stored. */
   private readonly releasing = new Set<AttemptId>();
 
-  /** Claims of this host that are running, or whose end is not stored yet. */
+  /** Claims of this host that are running or whose outcome is not stored yet, by object name. */
   private readonly open = new Map<string, OpenClaim>();
 
-  /** @param options - The platform, and what is known of other hosts. */
+  /** @param options - The platform, and the known states of other hosts. */
   constructor(options: IdempotencyClaimsOptions) {
     this.options = options;
     this.settler = new ClaimSettler(options.store, options.clock, options.random);
   }
 
-  /** Gets the number of claims of this host that are running or not yet stored as finished. */
+  /** Gets the number of claims of this host that are running or whose outcome is not stored yet. */
   getOpen(): number {
     return this.open.size;
   }
 
-  /** Gets the number of ends that still have to be stored. */
+  /** Gets the number of outcomes and removals that are not stored yet. */
   getPending(): number {
     return this.settler.getPending();
   }
 
   /**
-   * Claims a call; to be awaited before anything is dispatched.
+   * Claims a call; must resolve before the call is dispatched.
    *
    * @param req - The call and the attempt that would run it.
    * @returns `claimed` where this attempt, and no other, may dispatch the call.
@@ -103,7 +103,7 @@
   async claim(req: ClaimRequest): Promise<ClaimOutcome> {
     const name = claimName(req);
     const own = this.open.get(name);
-    if (own !== undefined) return this.judge(own.record, req);
+    if (own !== undefined) return this.outcomeFor(own.record, req);
     const record = newRecord(req, this.options.clock.wall());
     this.open.set(name, { record });
     const outcome = await this.claimInPlatform(name, record, req);
@@ -112,11 +112,11 @@
   }
 
   /**
-   * Notes that a claimed call has run; its answer may be passed on at once.
+   * Records that a claimed call has run; its response may be forwarded without waiting for this.
    *
    * @param claim - The claim.
-   * @param answer - The whole answer, kept for callers that send again.
-   * @returns A promise that resolves when the end is stored.
+   * @param answer - The whole response, stored for callers that send the call again.
+   * @returns A promise that resolves when the outcome is stored.
    */
   async finish(claim: Claim, answer: KeptAnswer): Promise<void> {
     const record = finishedRecord(recordOf(claim), answer);
@@ -127,10 +127,10 @@
   }
 
   /**
-   * Gives a claim back; only where the call was provably not dispatched.
+   * Releases a claim; only allowed where the call was certainly not dispatched.
    *
    * @param claim - The claim.
-   * @returns A promise that resolves when the claim is gone from the platform, or on its way.
+   * @returns A promise that resolves when the claim is removed, or its removal runs in the background.
    */
   async abandon(claim: Claim): Promise<void> {
     const { attempt } = claim.request;
@@ -140,11 +140,11 @@
   }
 
   /**
-   * Notes that a claimed call ended without an answer after dispatch. The claim stays for good, and
-   * callers that send again are told that the outcome is unknown.
+   * Records that a claimed call ended without a response after dispatch. The claim never expires, and
+   * later calls with its key are refused with an unknown outcome.
    *
    * @param claim - The claim.
-   * @returns A promise that resolves when this is stored.
+   * @returns A promise that resolves when the outcome is stored.
    */
   async leaveUnknown(claim: Claim): Promise<void> {
     const record: ClaimRecord = { ...recordOf(claim), state: 'unknown' };
@@ -154,12 +154,12 @@
     this.open.delete(claim.name);
   }
 
-  /** Waits until all ends are stored; a host that drains calls it before it leaves. */
+  /** Waits until all outcomes are stored; a draining host calls it before it stops. */
   drained(): Promise<void> {
     return this.settler.drained();
   }
 
-  /** Stops storing ends; what is left stays unknown. */
+  /** Stops storing outcomes; those not stored yet stay unknown. */
   stop(): Promise<void> {
     return this.settler.stop();
   }
@@ -174,21 +174,21 @@
     while (clock.now() < until) {
       const put = await this.options.store.put(CLAIM_KIND, name, record, 'absent');
       if (put.isErr() && put.error.type === 'unavailable') this.unanswered.add(record.attempt);
-      const settled = put.isOk()
-        ? this.claimed(put.value, req, record)
+      const result = put.isOk()
+        ? this.granted(put.value, req, record)
         : await this.afterFailure(put.error, name, record, req);
-      const isOpen = settled?.type === 'unavailable' && this.unanswered.has(record.attempt);
-      if (settled !== undefined && !isOpen) return this.ended(settled, name, record.attempt);
-      await sleep(clock, PAUSE_MS);
+      const isUndecided = result?.type === 'unavailable' && this.unanswered.has(record.attempt);
+      if (result !== undefined && !isUndecided) return this.conclude(result, name, record.attempt);
+      await sleep(clock, RETRY_DELAY_MS);
     }
     const outcome: ClaimOutcome = { type: 'unavailable', retryAfterMs: RETRY_AFTER_MS };
-    return this.ended(outcome, name, record.attempt);
+    return this.conclude(outcome, name, record.attempt);
   }
 
-  /** A write without an answer may yet arrive; left there, it would bar the caller's key. */
-  private ended(outcome: ClaimOutcome, name: string, attempt: AttemptId): ClaimOutcome {
-    const isLeft = outcome.type !== 'claimed' && this.unanswered.delete(attempt);
-    if (isLeft) void this.release(name, attempt);
+  /** Releases a claim whose write got no response: it may yet take effect and block the caller's key. */
+  private conclude(outcome: ClaimOutcome, name: string, attempt: AttemptId): ClaimOutcome {
+    const mayBeStored = outcome.type !== 'claimed' && this.unanswered.delete(attempt);
+    if (mayBeStored) void this.release(name, attempt);
     return outcome;
   }
 
@@ -203,12 +203,12 @@
     name: string,
     record: ClaimRecord,
     req: ClaimRequest,
-  ): Promise<Settled> {
+  ): Promise<CallOutcome> {
     switch (error.type) {
       case 'conflict':
         return error.current === undefined
           ? this.readBack(name, record, req)
-          : this.found(error.current, record, req);
+          : this.resolveExisting(error.current, record, req);
       case 'unavailable':
         return this.readBack(name, record, req);
       case 'over_budget':
@@ -220,35 +220,39 @@
     }
   }
 
-  private async readBack(name: string, record: ClaimRecord, req: ClaimRequest): Promise<Settled> {
+  private async readBack(
+    name: string,
+    record: ClaimRecord,
+    req: ClaimRequest,
+  ): Promise<CallOutcome> {
     const read = await this.options.store.get(CLAIM_KIND, name);
     if (read.isErr() || read.value === undefined) return undefined;
-    return this.found(read.value, record, req);
+    return this.resolveExisting(read.value, record, req);
   }
 
-  /** Tells what an object that stands where the claim should go means. */
-  private async found(
+  /** Gets the outcome for a claim object that exists already. */
+  private async resolveExisting(
     object: StoredObject,
     record: ClaimRecord,
     req: ClaimRequest,
-  ): Promise<Settled> {
+  ): Promise<CallOutcome> {
     const stored = readRecord(object.value);
     if (stored === undefined) {
       return { type: 'in_use', holder: { attempt: '', host: '', incarnation: '' } };
     }
-    if (stored.attempt === record.attempt) return this.claimed(object, req, stored);
+    if (stored.attempt === record.attempt) return this.granted(object, req, stored);
     if (this.releasing.has(stored.attempt)) return undefined;
-    if (!this.isExpired(stored)) return this.judge(stored, req);
+    if (!this.isExpired(stored)) return this.outcomeFor(stored, req);
     const put = await this.options.store.put(CLAIM_KIND, object.name, record, object.version);
-    return put.isOk() ? this.claimed(put.value, req, record) : undefined;
+    return put.isOk() ? this.granted(put.value, req, record) : undefined;
   }
 
-  private claimed(object: StoredObject, request: ClaimRequest, record: ClaimRecord): ClaimOutcome {
+  private granted(object: StoredObject, request: ClaimRequest, record: ClaimRecord): ClaimOutcome {
     const { name, version } = object;
     return { type: 'claimed', claim: { name, version, request, claimedAt: record.claimedAt } };
   }
 
-  private judge(stored: ClaimRecord, req: ClaimRequest): ClaimOutcome {
+  private outcomeFor(stored: ClaimRecord, req: ClaimRequest): ClaimOutcome {
     if (stored.requestDigest !== req.requestDigest) return { type: 'mismatch' };
     if (stored.state === 'finished') return { type: 'finished', answer: keptAnswer(stored) };
     const holder = holderOf(stored);
@@ -257,7 +261,7 @@
       : { type: 'in_use', holder };
   }
 
-  /** A claim of this very process that is not open any more was left without an answer. */
+  /** A claim of this process that is not open any more ended without a response. */
   private isGone(stored: ClaimRecord, req: ClaimRequest): boolean {
     const { host, incarnation, state } = stored;
     if (state === 'unknown') return true;
@@ -266,7 +270,7 @@
     return this.options.holderState?.(host, incarnation) === 'gone';
   }
 
-  /** Only a finished call is ever forgotten: one that may have run must never run again. */
+  /** Only finished claims expire: a call that may have run must never run again. */
   private isExpired(stored: ClaimRecord): boolean {
     const retention = this.options.retentionMs ?? DEFAULT_RETENTION_MS;
     return stored.state === 'finished' && this.options.clock.wall() - stored.claimedAt > retention;
--- a/packages/store/src/claims/claimRecord.ts
+++ b/packages/store/src/claims/claimRecord.ts
@@ -2,12 +2,12 @@
 import * as z from 'zod';
 import type { ClaimHolder, ClaimRequest, KeptAnswer } from './Claim.ts';
 
-/** The kind of the objects that hold claims. */
+/** Kind of the objects that store claims. */
 export const CLAIM_KIND = 'claim';
 
 /**
- * Largest body of an answer that is kept, in bytes. Certificates and reservations answer with a few
- * kilobytes; what is larger is not replayed, so that claims can't fill the platform or a host.
+ * Maximum body of a stored response, in bytes. Responses of certificate and reservation calls have a
+ * few kilobytes; larger ones are not replayed, so that claims can't fill the platform or a host.
  */
 export const MAX_KEPT_BYTES = 16 * 1024;
 
@@ -19,7 +19,7 @@
   attempt: z.string(),
   host: z.string(),
   incarnation: z.string(),
-  /** Wall time of the claim; compared only with a retention of a day. */
+  /** Wall clock time of the claim; used only for the retention of a day, so clock skew does not matter. */
   claimedAt: z.number(),
   state: z.enum(['claimed', 'finished', 'unknown']),
   answer: z
@@ -31,14 +31,14 @@
     .optional(),
 });
 
-/** A claim as it is stored. */
+/** The stored value of a claim. */
 export type ClaimRecord = z.infer<typeof schema>;
 
 /**
- * Gets the name of the object that holds a claim. It is a digest, so that callers can neither choose
- * names of objects nor make them long.
+ * Gets the name of the object that stores a claim. It is a digest, so that callers control neither
+ * the names of objects nor their length.
  *
- * @param req - What is claimed.
+ * @param req - The call to claim.
  * @returns 64 hexadecimal characters.
  */
 export function claimName(req: ClaimRequest): string {
@@ -48,9 +48,9 @@
 /**
  * Gets the record of a new claim.
  *
- * @param req - What is claimed.
- * @param claimedAt - The wall time.
- * @returns The record; the caller's key is not in it.
+ * @param req - The call to claim.
+ * @param claimedAt - Wall clock time of the claim.
+ * @returns The record, without the caller's key.
  */
 export function newRecord(req: ClaimRequest, claimedAt: Millis): ClaimRecord {
   const { team, service, route, requestDigest, attempt, host, incarnation } = req;
@@ -71,7 +71,7 @@
  * Gets the record of a call that has run.
  *
  * @param record - The record of the claim.
- * @param answer - The answer; left out of the record where it is too large.
+ * @param answer - The response; omitted from the record where its body is too large.
  * @returns The record to store.
  */
 export function finishedRecord(record: ClaimRecord, answer: KeptAnswer): ClaimRecord {
@@ -82,24 +82,24 @@
 }
 
 /**
- * Reads a stored record.
+ * Parses a stored record.
  *
  * @param value - The object's value.
- * @returns The record, or undefined where it is not understood.
+ * @returns The record, or undefined where the value does not match the schema.
  */
 export function readRecord(value: unknown): ClaimRecord | undefined {
   const parsed = schema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
 }
 
-/** Gets the answer that a record keeps. */
+/** Gets the response stored in a record. */
 export function keptAnswer(record: ClaimRecord): KeptAnswer | undefined {
   if (record.answer === undefined) return undefined;
   const { status, headers, bodyBase64 } = record.answer;
   return { status, headers, body: Buffer.from(bodyBase64, 'base64') };
 }
 
-/** Gets who holds a claim. */
+/** Gets the holder of a claim. */
 export function holderOf(record: ClaimRecord): ClaimHolder {
   return { attempt: record.attempt, host: record.host, incarnation: record.incarnation };
 }
--- a/packages/store/src/claims/claimRefusal.ts
+++ b/packages/store/src/claims/claimRefusal.ts
@@ -1,16 +1,16 @@
 import { notRun, outcomeUnknown, type Refusal } from '@camphorvane/core';
 import type { ClaimOutcome } from './Claim.ts';
 
-/** After this time a call that is running may have ended, in milliseconds. */
+/** Retry delay suggested to a caller whose call is still running, in milliseconds. */
 const IN_USE_RETRY_MS = 1000;
 
 /**
  * Gets the refusal for a claim that was not granted.
  *
- * `not_run` is said only where no attempt under this key can have run as far as is known here.
+ * It says `not_run` only where, as far as this host knows, no attempt with this key has run.
  *
- * @param outcome - What became of the claim.
- * @returns The refusal; undefined where the call may be dispatched or a kept answer is there.
+ * @param outcome - The result of the claim.
+ * @returns The refusal; undefined where the call may be dispatched or a stored response exists.
  */
 export function claimRefusal(outcome: ClaimOutcome): Refusal | undefined {
   switch (outcome.type) {
--- a/packages/store/tests/claims/IdempotencyClaims.test.ts
+++ b/packages/store/tests/claims/IdempotencyClaims.test.ts
@@ -18,7 +18,7 @@
 import { TimeoutStore } from '../support/TimeoutStore.ts';
 import { drive } from '../support/drive.ts';
 
-const ANSWER = { status: 201, headers: { 'x-lot': '7' }, body: Buffer.from('{"certificate":7}') };
+const RESPONSE = { status: 201, headers: { 'x-lot': '7' }, body: Buffer.from('{"certificate":7}') };
 
 const call = (host: string, attempt: string, more: Partial<ClaimRequest> = {}): ClaimRequest => ({
   team: 'harbour',
@@ -51,20 +51,20 @@
   return outcome.claim;
 }
 
-test('a call that has run gives the same whole answer to a caller that sends it again', async () => {
+test('a call that has run replays its response to a caller that sends it again', async () => {
   const { clock, host } = setUp();
   const [a, b] = [host(), host(2)];
   const claim = granted(await drive(clock, a.claim(call('a', '1'))));
-  await drive(clock, a.finish(claim, ANSWER));
+  await drive(clock, a.finish(claim, RESPONSE));
   const again = await drive(clock, b.claim(call('b', '2')));
   assert.ok(again.type === 'finished');
-  assert.deepEqual({ ...again.answer, body: Buffer.from(again.answer!.body) }, ANSWER);
+  assert.deepEqual({ ...again.answer, body: Buffer.from(again.answer!.body) }, RESPONSE);
   assert.equal(a.getOpen(), 0);
 });
 
-test('a caller that sends again while the call runs is not given a second run', async () => {
-  // The caller's patience is shorter than the service's. It sends the same order again, to the same
-  // host and to another one; either must learn that the first is under way.
+test('a call sent again while it runs is not run a second time', async () => {
+  // The caller times out before the service does and sends the same call again, to the same host and
+  // to another one; both must detect that the first call is in flight.
   const { clock, host } = setUp();
   const [a, b] = [host(), host(2)];
   granted(await drive(clock, a.claim(call('a', '1'))));
@@ -79,9 +79,9 @@
   assert.equal(claimRefusal(outcomes[0]!)?.execution, 'unknown');
 });
 
-test('a host that dies with a call on its way leaves it unknown for good', async () => {
-  // Nobody can tell whether the service has issued the certificate. The caller sends again, tomorrow
-  // and next month too, and must never get a second one.
+test('a host that crashes with a call in flight leaves its outcome unknown for good', async () => {
+  // It is unknown whether the service issued the certificate. The caller may send the call again even
+  // after a month, and must never get a second certificate.
   const { clock, store, states, host } = setUp();
   granted(await drive(clock, host().claim(call('a', '1'))));
   states.set('a', 'gone');
@@ -100,7 +100,7 @@
   assert.equal((await drive(clock, host(3).claim(call('c', '3')))).type, 'outcome_unknown');
 });
 
-test('an answer that never came makes the call unknown at once, at every host', async () => {
+test('a call without a response has an unknown outcome at once, on every host', async () => {
   const { clock, host } = setUp();
   const a = host();
   const claim = granted(await drive(clock, a.claim(call('a', '1'))));
@@ -109,16 +109,16 @@
   assert.equal((await drive(clock, host(2).claim(call('b', '3')))).type, 'outcome_unknown');
 });
 
-test('a claim whose answer was lost is recognised as its own', async () => {
-  // The claim is stored and the answer never arrives. Taking the stored claim for another's would
-  // tell the caller "under way" about a call that nobody runs.
+test('a claim whose write got no response is recognized as its own', async () => {
+  // The claim is stored and the response is lost. Taking the stored claim for another attempt's would
+  // refuse the caller as in use although no attempt runs.
   const { clock, store, host } = setUp();
   store.setFaults({ lostAnswers: 1 });
   granted(await drive(clock, host().claim(call('a', '1'))));
   assert.equal(store.snapshot().length, 1);
 });
 
-test('the same key with another body, and another team with the same key, are told apart', async () => {
+test('the same key is a mismatch with another body, and independent for another team or route', async () => {
   const { clock, host } = setUp();
   const a = host();
   granted(await drive(clock, a.claim(call('a', '1'))));
@@ -128,9 +128,9 @@
   granted(await drive(clock, a.claim(call('a', '4', { route: 'POST /void' }))));
 });
 
-test('with the platform down a call is refused as not run, and the key is free afterwards', async () => {
-  // The write may have arrived just before the platform went. The caller is told "not run" and sends
-  // again later; the claim that was left behind must not bar it.
+test('during an outage a call is refused as not run, and its key is free afterwards', async () => {
+  // The write may take effect just before the outage. The caller is refused as not run and sends the
+  // call again later; the stored claim must not block it.
   const { clock, store, host } = setUp();
   const a = host();
   store.setFaults({ lostAnswers: 1 });
@@ -148,12 +148,12 @@
   granted(await drive(clock, host(2).claim(call('b', '2'))));
 });
 
-test('an end that could not be stored is kept, answered from memory and stored later', async () => {
+test('an outcome that could not be stored is served from memory and stored later', async () => {
   const { clock, store, host } = setUp();
   const a = host();
   const claim = granted(await drive(clock, a.claim(call('a', '1'))));
   store.setFaults({ down: true });
-  void a.finish(claim, ANSWER);
+  void a.finish(claim, RESPONSE);
   await clock.advance(60_000);
   assert.equal((await drive(clock, a.claim(call('a', '2')))).type, 'finished');
   store.setFaults({ down: false });
@@ -161,7 +161,7 @@
   assert.equal((await drive(clock, host(2).claim(call('b', '3')))).type, 'finished');
 });
 
-test('a claim that was never dispatched is given back', async () => {
+test('a claim that was never dispatched is released', async () => {
   const { clock, store, host } = setUp();
   const a = host();
   const claim = granted(await drive(clock, a.claim(call('a', '1'))));
@@ -170,23 +170,23 @@
   granted(await drive(clock, host(2).claim(call('b', '2'))));
 });
 
-test('an answer too large to keep is known as carried out', async () => {
+test('a call whose response is too large to store counts as run', async () => {
   const { clock, host } = setUp();
   const a = host();
   const claim = granted(await drive(clock, a.claim(call('a', '1'))));
-  await drive(clock, a.finish(claim, { ...ANSWER, body: Buffer.alloc(MAX_KEPT_BYTES + 1) }));
+  await drive(clock, a.finish(claim, { ...RESPONSE, body: Buffer.alloc(MAX_KEPT_BYTES + 1) }));
   const again = await drive(clock, a.claim(call('a', '2')));
   assert.deepEqual(again, { type: 'finished', answer: undefined });
   assert.equal(claimRefusal(again)?.execution, 'unknown');
 });
 
-test('a finished call is forgotten after its retention, by the next claim or by a sweep', async () => {
+test('a finished claim expires after its retention, by the next claim or by a sweep', async () => {
   const { clock, store, host } = setUp();
   const a = host();
   const keys = Array.from({ length: 40 }, (_, i) => `key-${i}`);
   const run = async (key: string) => {
     const claim = granted(await drive(clock, a.claim(call('a', `1-${key}`, { key }))));
-    await drive(clock, a.finish(claim, ANSWER));
+    await drive(clock, a.finish(claim, RESPONSE));
   };
   await keys.reduce((before, key) => before.then(() => run(key)), Promise.resolve());
   await clock.advance(DEFAULT_RETENTION_MS + 1000);
@@ -210,8 +210,8 @@
 
 const ENDS: readonly End[] = ['finish', 'leave', 'abandon'];
 
-/** Three hosts that give up on the platform after a while, and one caller who keeps sending. */
-class Resending {
+/** Three hosts whose store calls time out, and one caller that keeps sending the same call. */
+class ResendScenario {
   readonly clock = new VirtualClock();
 
   readonly store = new MemoryObjectStore(this.clock);
@@ -256,21 +256,21 @@
       return;
     }
     this.dispatched.push(attempt);
-    if (this.end === 'finish') await this.hosts[id].finish(outcome.claim, ANSWER);
+    if (this.end === 'finish') await this.hosts[id].finish(outcome.claim, RESPONSE);
     else await this.hosts[id].leaveUnknown(outcome.claim);
   }
 }
 
-test('whatever is lost, late or down, no call is dispatched twice and no key is barred in vain', async () => {
-  // A caller sends the same order again and again at three hosts, while the platform loses answers,
-  // carries out writes after the host has given up, and goes away. What a user would notice is a
-  // second certificate, or an order that was reported as not run and can never be given again.
+test('despite lost responses, late writes and outages no call is dispatched twice and no unused key is blocked', async () => {
+  // A caller repeats the same call at three hosts, while the platform loses responses, applies writes
+  // after the host's timeout, and has outages. The failures would be a second certificate, or a call
+  // that was refused as not run and can never be sent again.
   const plan = fc.array(fc.record({ event: fc.constantFrom(...EVENTS), gap: fc.nat(700) }), {
     maxLength: 25,
   });
   await fc.assert(
     fc.asyncProperty(plan, fc.constantFrom(...ENDS), async (steps, end) => {
-      const run = new Resending(end);
+      const run = new ResendScenario(end);
       await steps.reduce(async (before, { event, gap }, i) => {
         await before;
         run.apply(event, String(i));
