--- a/packages/store/src/Backoff.ts
+++ b/packages/store/src/Backoff.ts
@@ -1,19 +1,21 @@
 import type { Millis, RandomSource } from '@camphorvane/core';
 
-/** Bounds of a {@link Backoff}, in milliseconds. */
+/** Bounds of a {@link Backoff}. */
 export interface BackoffOptions {
+  /** Bound of the first delay, in milliseconds. */
   readonly baseMs: Millis;
+  /** Largest bound, in milliseconds. */
   readonly maxMs: Millis;
 }
 
-/** Least part of the bound that a wait takes, so that no retry follows at once. */
-const MIN_PART = 0.25;
+/** Minimum delay as a fraction of the bound, so that no retry follows at once. */
+const MIN_FRACTION = 0.25;
 
 /**
- * Waits between retries that double up to a bound and are spread at random.
+ * Exponential back-off with jitter.
  *
- * Hosts lose the platform in the same instant. Without the spread they would all come back in the
- * same instant too, and take it down again.
+ * All hosts lose the platform at the same time. Without jitter they would all retry at the same time
+ * too, and overload it again.
  */
 export class Backoff {
   private readonly random: RandomSource;
@@ -23,8 +25,8 @@
   private failures = 0;
 
   /**
-   * @param random - Spreads the waits.
-   * @param options - First and longest bound.
+   * @param random - Source of the jitter.
+   * @param options - First and largest bound.
    */
   constructor(random: RandomSource, options: BackoffOptions) {
     this.random = random;
@@ -32,17 +34,17 @@
   }
 
   /**
-   * Gets the wait before the next retry, and doubles the bound for the one after.
+   * Gets the delay before the next retry and doubles the bound for the one after it.
    *
    * @returns Milliseconds.
    */
   next(): Millis {
     const bound = Math.min(this.options.maxMs, this.options.baseMs * 2 ** this.failures);
     if (bound < this.options.maxMs) this.failures += 1;
-    return bound * (MIN_PART + (1 - MIN_PART) * this.random.next());
+    return bound * (MIN_FRACTION + (1 - MIN_FRACTION) * this.random.next());
   }
 
-  /** Starts over after a success. */
+  /** Resets the bound after a success. */
   reset(): void {
     this.failures = 0;
   }
--- a/packages/store/src/BudgetedStore.ts
+++ b/packages/store/src/BudgetedStore.ts
@@ -11,9 +11,9 @@
 } from './ObjectStore.ts';
 
 /**
- * An object store whose calls are counted against the budget of the host.
+ * An object store whose calls count against the call budget of the host.
  *
- * Each part of a host gets one with its own priority, over the same budget.
+ * Each component of a host uses its own instance, with its own priority and the same budget.
  */
 export class BudgetedStore implements ObjectStore {
   private readonly store: ObjectStore;
@@ -23,9 +23,9 @@
   private readonly priority: CallPriority;
 
   /**
-   * @param store - Carries out the calls that fit.
-   * @param budget - The budget that all parts of the host share.
-   * @param priority - The part that makes the calls.
+   * @param store - The underlying store.
+   * @param budget - The budget that all components of the host share.
+   * @param priority - The priority of the calls.
    */
   constructor(store: ObjectStore, budget: CallBudget, priority: CallPriority) {
     this.store = store;
@@ -35,7 +35,7 @@
 
   /** {@inheritDoc ObjectStore.get} */
   get(kind: string, name: string): ResultAsync<StoredObject | undefined, PlatformError> {
-    return this.counted('read', () => this.store.get(kind, name));
+    return this.withBudget('read', () => this.store.get(kind, name));
   }
 
   /** {@inheritDoc ObjectStore.put} */
@@ -45,17 +45,17 @@
     value: unknown,
     expected: Expected,
   ): ResultAsync<StoredObject, PlatformError> {
-    return this.counted('write', () => this.store.put(kind, name, value, expected));
+    return this.withBudget('write', () => this.store.put(kind, name, value, expected));
   }
 
   /** {@inheritDoc ObjectStore.remove} */
   remove(kind: string, name: string, expected: ObjectVersion): ResultAsync<void, PlatformError> {
-    return this.counted('write', () => this.store.remove(kind, name, expected));
+    return this.withBudget('write', () => this.store.remove(kind, name, expected));
   }
 
   /** {@inheritDoc ObjectStore.list} */
   list(kind: string, prefix: string): ResultAsync<readonly StoredObject[], PlatformError> {
-    return this.counted('read', () => this.store.list(kind, prefix));
+    return this.withBudget('read', () => this.store.list(kind, prefix));
   }
 
   /** {@inheritDoc ObjectStore.watch} */
@@ -65,25 +65,25 @@
     waitMs: number,
     signal: AbortSignal,
   ): ResultAsync<WatchBatch, PlatformError> {
-    return this.counted('read', () => this.store.watch(kind, after, waitMs, signal));
+    return this.withBudget('read', () => this.store.watch(kind, after, waitMs, signal));
   }
 
   /** {@inheritDoc ObjectStore.hosts} */
   hosts(): ResultAsync<readonly HostEntry[], PlatformError> {
-    return this.counted('read', () => this.store.hosts());
+    return this.withBudget('read', () => this.store.hosts());
   }
 
-  private counted<T>(
+  private withBudget<T>(
     kind: CallKind,
     call: () => ResultAsync<T, PlatformError>,
   ): ResultAsync<T, PlatformError> {
     return this.budget
       .take(kind, this.priority)
-      .asyncAndThen(() => call().mapErr((error) => this.noted(error)));
+      .asyncAndThen(() => call().mapErr((error) => this.recordError(error)));
   }
 
-  /** A platform that refuses for its rate is left alone by all parts of the host, not by one. */
-  private noted(error: PlatformError): PlatformError {
+  /** Rate limiting by the platform pauses all components of the host, not only the caller. */
+  private recordError(error: PlatformError): PlatformError {
     if (error.type === 'over_budget') this.budget.pause(error.retryAfterMs);
     if (error.type === 'unavailable') this.budget.noteTrouble();
     return error;
--- a/packages/store/src/CallBudget.ts
+++ b/packages/store/src/CallBudget.ts
@@ -2,49 +2,48 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { PlatformError } from './ObjectStore.ts';
 
-/** Whose call it is; the order in which parts of a host may use up the budget. */
+/** The component that makes a call; determines which part of the budget it may use. */
 export type CallPriority = 'membership' | 'config' | 'claims' | 'status';
 
-/** Whether a call changes the store; the platform limits both apart. */
+/** Whether a call reads or writes; the platform has a separate rate limit for each. */
 export type CallKind = 'read' | 'write';
 
-/** What a host may ask of the platform. */
+/** Call rates to the platform. */
 export interface CallRates {
   readonly readsPerSecond: number;
   readonly writesPerSecond: number;
 }
 
 /**
- * What the platform takes from all hosts together, less a fifth for operators' tools and for hosts
- * that are not listed yet: two thousand reads and several (counted as three) hundred writes a
- * second.
+ * Call rates of all hosts together: the platform's limits of 2000 reads and several hundred (taken as
+ * 300) writes a second, less a fifth for operators' tools and for hosts that are not listed yet.
  */
 export const FLEET_RATES: CallRates = { readsPerSecond: 1600, writesPerSecond: 240 };
 
-/** Seconds of its rate that a host may use at once, so that a start or a change of group fits. */
+/** Token bucket size of a host, in seconds of its rate; fits the calls of a start or a group change. */
 const BURST_SECONDS = 4;
 
 /**
- * How many times its part a host may use while the platform takes every call. Callers keep to one
- * host for a while, so that one host may need several parts while the others need none.
+ * Multiple of its share that a host may use while the platform accepts every call. Callers stay with
+ * one host for a while, so that one host may need several shares while others need none.
  */
-const SKEW_FACTOR = 4;
+const MAX_SHARE_FACTOR = 4;
 
 /**
- * Milliseconds for which a host keeps to its part after its start, after a refused call and after a
- * call without an answer: then all hosts may ask at once, and their parts together just fit.
+ * Milliseconds for which a host keeps to its share after its start, a rate-limited call or a call
+ * without a response: all hosts may call at once then, and only their shares fit the platform's rate.
  */
-const STRICT_MS = 10_000;
+const SHARE_ONLY_MS = 10_000;
 
-/** Least burst, in calls: at 350 hosts a second of the rate is less than one write. */
+/** Minimum burst, in calls: at 350 hosts the share of one host is less than one write a second. */
 const MIN_BURST = 8;
 
 /**
- * Part of the burst that stays out of reach of a priority. When the budget runs low, status stops
- * first and claims second (their callers are told "not run"), while membership can use the last
- * call: without it a host would lose its right to serve at all.
+ * Fraction of the burst that is reserved for higher priorities. When the budget runs low, status calls
+ * stop first and claims second (their callers are refused as not run). Membership may use the last
+ * call: without it a host could not serve at all.
  */
-const RESERVED: Readonly<Record<CallPriority, number>> = {
+const RESERVED_FRACTION: Readonly<Record<CallPriority, number>> = {
   membership: 0,
   config: 0.125,
   claims: 0.25,
@@ -55,15 +54,15 @@
   rate: number;
   burst: number;
   tokens: number;
-  at: Millis;
+  refilledAt: Millis;
 }
 
 /**
- * The calls to the platform that all parts of a host share.
+ * Token buckets for the platform calls of all components of a host.
  *
- * It is made for a platform whose rates grow more slowly than the fleet. A call that does not fit is
- * refused at once: a queue before a slow platform would grow without bound and then send its
- * backlog just when the platform comes back.
+ * The rate limits of the platform grow more slowly than the fleet. A call over the budget is refused
+ * at once: a queue in front of a slow platform would grow without bound and send its backlog just
+ * when the platform recovers.
  */
 export class CallBudget {
   private readonly clock: Clock;
@@ -72,11 +71,11 @@
 
   private pausedUntil: Millis;
 
-  private strictUntil: Millis;
+  private shareOnlyUntil: Millis;
 
   /**
-   * @param clock - The clock that refills the budget.
-   * @param rates - What this host may ask of the platform.
+   * @param clock - Times the refill of the buckets.
+   * @param rates - The call rates of this host.
    */
   constructor(clock: Clock, rates: CallRates) {
     this.clock = clock;
@@ -85,28 +84,28 @@
       write: newBucket(rates.writesPerSecond, clock.now()),
     };
     this.pausedUntil = clock.now();
-    this.strictUntil = clock.now() + STRICT_MS;
+    this.shareOnlyUntil = clock.now() + SHARE_ONLY_MS;
   }
 
   /**
-   * Gets the part of the platform's rates that falls to one host.
+   * Gets one host's share of the platform's rates.
    *
-   * @param hosts - Live hosts, this one included; less than one counts as one.
-   * @param fleet - What all hosts may use together.
+   * @param hosts - Number of live hosts, including this one; less than one counts as one.
+   * @param fleet - The rates of all hosts together.
    * @returns The rates of one host.
    */
   static ratesFor(hosts: number, fleet: CallRates = FLEET_RATES): CallRates {
-    const parts = Math.max(1, hosts);
+    const shares = Math.max(1, hosts);
     return {
-      readsPerSecond: fleet.readsPerSecond / parts,
-      writesPerSecond: fleet.writesPerSecond / parts,
+      readsPerSecond: fleet.readsPerSecond / shares,
+      writesPerSecond: fleet.writesPerSecond / shares,
     };
   }
 
   /**
-   * Sets new rates, after the fleet has grown or shrunk; what is left of the budget is kept.
+   * Sets new rates after a change of the fleet's size; the tokens are kept, up to the new burst.
    *
-   * @param rates - What this host may ask of the platform from now on.
+   * @param rates - The new call rates of this host.
    */
   setRates(rates: CallRates): void {
     this.refill('read');
@@ -119,14 +118,14 @@
    * Takes one call from the budget.
    *
    * @param kind - Whether the call reads or writes.
-   * @param priority - Whose call it is.
-   * @returns Nothing, or `over_budget` with the time after which the call would fit.
+   * @param priority - The component that makes the call.
+   * @returns Nothing, or `over_budget` with the milliseconds after which the call would fit.
    */
   take(kind: CallKind, priority: CallPriority): Result<void, PlatformError> {
     const bucket = this.refill(kind);
-    const floor = RESERVED[priority] * bucket.burst;
+    const reserved = RESERVED_FRACTION[priority] * bucket.burst;
     const pause = priority === 'membership' ? 0 : this.pausedUntil - this.clock.now();
-    const missing = floor + 1 - bucket.tokens;
+    const missing = reserved + 1 - bucket.tokens;
     if (pause <= 0 && missing <= 0) {
       bucket.tokens -= 1;
       return ok(undefined);
@@ -136,27 +135,27 @@
   }
 
   /**
-   * Notes that the platform itself refused a call for its rate: only membership goes on until then.
+   * Pauses all calls but those of membership after the platform itself has rate-limited a call.
    *
-   * @param retryAfterMs - Milliseconds for which the platform asked to be left alone.
+   * @param retryAfterMs - Retry delay that the platform asked for, in milliseconds.
    */
   pause(retryAfterMs: Millis): void {
     this.pausedUntil = Math.max(this.pausedUntil, this.clock.now() + retryAfterMs);
     this.noteTrouble();
   }
 
-  /** Notes that the platform refused a call or did not answer: the host keeps to its part. */
+  /** Restricts the host to its share, after a rate-limited call or one without a response. */
   noteTrouble(): void {
     this.refill('read');
     this.refill('write');
-    this.strictUntil = this.clock.now() + STRICT_MS;
+    this.shareOnlyUntil = this.clock.now() + SHARE_ONLY_MS;
   }
 
   /**
-   * Gets what is left.
+   * Gets the remaining budget.
    *
    * @param kind - Reads or writes.
-   * @returns Calls that the highest priority could make now.
+   * @returns Number of calls that the highest priority could make now.
    */
   left(kind: CallKind): number {
     return this.refill(kind).tokens;
@@ -165,10 +164,10 @@
   private refill(kind: CallKind): Bucket {
     const bucket = this.buckets[kind];
     const now = this.clock.now();
-    const factor = bucket.at >= this.strictUntil ? SKEW_FACTOR : 1;
-    const grown = bucket.tokens + ((now - bucket.at) / 1000) * bucket.rate * factor;
-    bucket.tokens = Math.min(bucket.burst, grown);
-    bucket.at = now;
+    const factor = bucket.refilledAt >= this.shareOnlyUntil ? MAX_SHARE_FACTOR : 1;
+    const refilled = bucket.tokens + ((now - bucket.refilledAt) / 1000) * bucket.rate * factor;
+    bucket.tokens = Math.min(bucket.burst, refilled);
+    bucket.refilledAt = now;
     return bucket;
   }
 }
@@ -178,10 +177,10 @@
 }
 
 function newBucket(rate: number, now: Millis): Bucket {
-  return { rate, burst: burstFor(rate), tokens: burstFor(rate), at: now };
+  return { rate, burst: burstFor(rate), tokens: burstFor(rate), refilledAt: now };
 }
 
-/** Changes a rate in place; the tokens are cut to the new burst and never grow by the change. */
+/** Changes a bucket's rate in place; limits the tokens to the new burst and never adds any. */
 function resize(bucket: Bucket, rate: number): void {
   const target = bucket;
   target.rate = rate;
--- a/packages/store/src/HostRegistry.ts
+++ b/packages/store/src/HostRegistry.ts
@@ -2,21 +2,21 @@
 import type { ResultAsync } from 'neverthrow';
 import type { HostEntry, PlatformError } from './ObjectStore.ts';
 
-/** The platform's list of hosts, as a host writes its own entry in it. */
+/** The platform's host list, in which each host writes its own entry. */
 export interface HostRegistry {
   /**
-   * Announces a host; repeated as its heartbeat.
+   * Registers a host; repeated as its heartbeat.
    *
-   * @param entry - The host as it shall be listed.
-   * @returns Nothing, or why the platform did not take it.
+   * @param entry - The entry to list.
+   * @returns Nothing, or the error of the platform.
    */
   announce(entry: HostEntry): ResultAsync<void, PlatformError>;
 
   /**
-   * Takes a host off the list; one that is not listed counts as taken off.
+   * Removes a host from the list; succeeds where it is not listed.
    *
    * @param id - The host.
-   * @returns Nothing, or why the platform did not take it.
+   * @returns Nothing, or the error of the platform.
    */
   withdraw(id: HostId): ResultAsync<void, PlatformError>;
 }
--- a/packages/store/src/HttpObjectStore.ts
+++ b/packages/store/src/HttpObjectStore.ts
@@ -27,27 +27,28 @@
   /** Base URL of the platform, such as `http://127.0.0.1:9000`. */
   readonly baseUrl: string;
   readonly clock: Clock;
-  /** Milliseconds until a call without an answer counts as `unavailable`. */
+  /** Milliseconds after which a call without a response fails as `unavailable`. */
   readonly timeoutMs?: Millis;
-  /** Largest number of connections. */
+  /** Maximum number of connections. */
   readonly connections?: number;
-  /** Replaces the connections, for tests. */
+  /** Replaces the connection pool, for tests. */
   readonly dispatcher?: Dispatcher;
 }
 
 /**
- * The platform answers in milliseconds. A call that takes this long is as good as lost; waiting
- * longer would only delay the read that settles whether a write took effect.
+ * Default timeout in milliseconds. The platform responds within milliseconds, so a call that takes
+ * this long is probably lost; a longer wait would only delay the read that tells whether a write took
+ * effect.
  */
 const DEFAULT_TIMEOUT_MS = 2000;
 
-/** The platform's object API over HTTP. */
+/** Client of the platform's object and host APIs over HTTP. */
 export class HttpObjectStore implements ObjectStore, HostRegistry {
   private readonly http: PlatformHttp;
 
   private readonly timeoutMs: Millis;
 
-  /** @param options - Where the platform is, and how long to wait for it. */
+  /** @param options - The address of the platform, the timeout and the connections. */
   constructor(options: HttpObjectStoreOptions) {
     this.http = new PlatformHttp(options);
     this.timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
@@ -55,8 +56,8 @@
 
   /** {@inheritDoc ObjectStore.get} */
   get(kind: string, name: string): ResultAsync<StoredObject | undefined, PlatformError> {
-    return this.read(objectPath(kind, name)).andThen((answer) =>
-      answer.status === 404 ? ok(undefined) : checked(answer, storedObjectSchema),
+    return this.read(objectPath(kind, name)).andThen((response) =>
+      response.status === 404 ? ok(undefined) : parseBody(response, storedObjectSchema),
     );
   }
 
@@ -71,11 +72,11 @@
       .call({
         method: 'PUT',
         path: objectPath(kind, name),
-        headers: condition(expected),
+        headers: conditionHeaders(expected),
         body: value,
         timeoutMs: this.timeoutMs,
       })
-      .andThen((answer) => checked(answer, storedObjectSchema));
+      .andThen((response) => parseBody(response, storedObjectSchema));
   }
 
   /** {@inheritDoc ObjectStore.remove} */
@@ -84,20 +85,20 @@
       .call({
         method: 'DELETE',
         path: objectPath(kind, name),
-        headers: condition(expected),
+        headers: conditionHeaders(expected),
         timeoutMs: this.timeoutMs,
       })
-      .andThen((answer) =>
-        answer.status === 404 ? err({ type: 'conflict' } as const) : ok(answer),
+      .andThen((response) =>
+        response.status === 404 ? err({ type: 'conflict' } as const) : ok(response),
       )
-      .andThen(accepted);
+      .andThen(requireSuccess);
   }
 
   /** {@inheritDoc ObjectStore.list} */
   list(kind: string, prefix: string): ResultAsync<readonly StoredObject[], PlatformError> {
     const path = `/v1/objects/${encodeURIComponent(kind)}?prefix=${encodeURIComponent(prefix)}`;
     return this.read(path)
-      .andThen((answer) => checked(answer, listSchema))
+      .andThen((response) => parseBody(response, listSchema))
       .map((page) => page.objects);
   }
 
@@ -115,13 +116,13 @@
         timeoutMs: waitMs + this.timeoutMs,
         signal,
       })
-      .andThen((answer) => checked(answer, watchBatchSchema));
+      .andThen((response) => parseBody(response, watchBatchSchema));
   }
 
   /** {@inheritDoc ObjectStore.hosts} */
   hosts(): ResultAsync<readonly HostEntry[], PlatformError> {
     return this.read('/v1/hosts')
-      .andThen((answer) => checked(answer, hostListSchema))
+      .andThen((response) => parseBody(response, hostListSchema))
       .map((page) => page.hosts);
   }
 
@@ -134,7 +135,7 @@
         body: entry,
         timeoutMs: this.timeoutMs,
       })
-      .andThen(accepted);
+      .andThen(requireSuccess);
   }
 
   /** {@inheritDoc HostRegistry.withdraw} */
@@ -145,7 +146,7 @@
         path: `/v1/hosts/${encodeURIComponent(id)}`,
         timeoutMs: this.timeoutMs,
       })
-      .andThen((answer) => (answer.status === 404 ? ok(undefined) : accepted(answer)));
+      .andThen((response) => (response.status === 404 ? ok(undefined) : requireSuccess(response)));
   }
 
   /** Closes all connections to the platform. */
@@ -162,38 +163,40 @@
   return `/v1/objects/${encodeURIComponent(kind)}/${encodeURIComponent(name)}`;
 }
 
-function condition(expected: Expected): Readonly<Record<string, string>> {
+function conditionHeaders(expected: Expected): Readonly<Record<string, string>> {
   return expected === 'absent' ? { 'if-none-match': '*' } : { 'if-match': `"${expected}"` };
 }
 
-function accepted(answer: PlatformAnswer): Result<void, PlatformError> {
-  return answer.status >= 200 && answer.status < 300 ? ok(undefined) : err(failure(answer));
+function requireSuccess(response: PlatformAnswer): Result<void, PlatformError> {
+  return response.status >= 200 && response.status < 300 ? ok(undefined) : err(errorOf(response));
 }
 
 /**
- * Checks an answer's body. One that is not understood counts as `unavailable`: after a write it
- * leaves open whether the write took effect, just as a lost answer does.
+ * Parses a response body. An invalid body counts as `unavailable`: like a lost response, it does not
+ * tell whether a write took effect.
  */
-function checked<T>(answer: PlatformAnswer, schema: z.ZodType<T>): Result<T, PlatformError> {
-  return accepted(answer).andThen(() => {
-    const parsed = schema.safeParse(answer.body);
-    return parsed.success ? ok(parsed.data) : err(unavailable('the answer was not understood'));
+function parseBody<T>(response: PlatformAnswer, schema: z.ZodType<T>): Result<T, PlatformError> {
+  return requireSuccess(response).andThen(() => {
+    const parsed = schema.safeParse(response.body);
+    return parsed.success
+      ? ok(parsed.data)
+      : err(unavailable('the response of the platform does not match the protocol'));
   });
 }
 
-function failure(answer: PlatformAnswer): PlatformError {
-  switch (answer.status) {
+function errorOf(response: PlatformAnswer): PlatformError {
+  switch (response.status) {
     case 412: {
-      const parsed = conflictSchema.safeParse(answer.body ?? {});
+      const parsed = conflictSchema.safeParse(response.body ?? {});
       return { type: 'conflict', current: parsed.success ? parsed.data.current : undefined };
     }
     case 429:
-      return { type: 'over_budget', retryAfterMs: answer.retryAfterMs };
+      return { type: 'over_budget', retryAfterMs: response.retryAfterMs };
     case 413:
-      return { type: 'invalid', message: 'the value is larger than the platform takes' };
+      return { type: 'invalid', message: 'the value exceeds the size limit of the platform' };
     default:
-      return answer.status >= 400 && answer.status < 500
-        ? { type: 'invalid', message: `the platform answered ${answer.status}` }
-        : unavailable(`the platform answered ${answer.status}`);
+      return response.status >= 400 && response.status < 500
+        ? { type: 'invalid', message: `the platform responded with status ${response.status}` }
+        : unavailable(`the platform responded with status ${response.status}`);
   }
 }
--- a/packages/store/src/ObjectStore.ts
+++ b/packages/store/src/ObjectStore.ts
@@ -1,10 +1,10 @@
 import type { HostId, ZoneId } from '@camphorvane/core';
 import type { ResultAsync } from 'neverthrow';
 
-/** Grows with each write to the store; versions of different objects can be compared. */
+/** Store-wide version that increases with each write; comparable between objects. */
 export type ObjectVersion = number;
 
-/** An object as stored; the value is JSON of at most a megabyte. */
+/** A stored object; its value is JSON of at most 1 MB. */
 export interface StoredObject {
   readonly kind: string;
   readonly name: string;
@@ -12,14 +12,14 @@
   readonly value: unknown;
 }
 
-/** What a conditional write expects to find: a version, or no object. */
+/** Precondition of a write: the current version, or that no object exists. */
 export type Expected = ObjectVersion | 'absent';
 
 /**
  * Why a call to the platform failed.
  *
- * `unavailable` after a write means that the write may have taken effect: its answer can be lost,
- * so the caller must read before it concludes anything.
+ * After `unavailable` a write may have taken effect, since its response may be lost; the caller must
+ * read the object to find out.
  */
 export type PlatformError =
   | { readonly type: 'conflict'; readonly current?: StoredObject }
@@ -37,13 +37,13 @@
       readonly version: ObjectVersion;
     };
 
-/** What a watch returned: the changes, and where the next watch goes on. */
+/** Result of a watch: the changes, and the version from which the next watch continues. */
 export interface WatchBatch {
   readonly events: readonly WatchEvent[];
   readonly next: ObjectVersion;
 }
 
-/** A host as the platform's lagging list shows it. */
+/** A host in the platform's eventually consistent host list. */
 export interface HostEntry {
   readonly id: HostId;
   readonly zone: ZoneId;
@@ -54,12 +54,12 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** The platform's object API, as every part of a host uses it. */
+/** The platform's object API, as used by all components of a host. */
 export interface ObjectStore {
   /** Reads one object; resolves to undefined where there is none. */
   get(kind: string, name: string): ResultAsync<StoredObject | undefined, PlatformError>;
 
-  /** Writes one object if what is stored is as expected. */
+  /** Writes one object if its stored state matches `expected`. */
   put(
     kind: string,
     name: string,
@@ -67,7 +67,7 @@
     expected: Expected,
   ): ResultAsync<StoredObject, PlatformError>;
 
-  /** Removes one object if its version is as expected. */
+  /** Removes one object if its version matches `expected`. */
   remove(kind: string, name: string, expected: ObjectVersion): ResultAsync<void, PlatformError>;
 
   /** Lists the objects of a kind whose names start with a prefix. */
@@ -77,9 +77,9 @@
    * Waits for changes of a kind after a version.
    *
    * @param kind - The kind to watch.
-   * @param after - Report only changes with a higher version.
-   * @param waitMs - How long the platform may hold the call when there is no change.
-   * @param signal - Ends the wait.
+   * @param after - Version after which changes are reported.
+   * @param waitMs - Maximum wait for a change, in milliseconds.
+   * @param signal - Aborts the wait.
    * @returns The changes in order of version; an empty batch after `waitMs`.
    */
   watch(
@@ -89,6 +89,6 @@
     signal: AbortSignal,
   ): ResultAsync<WatchBatch, PlatformError>;
 
-  /** Reads the lagging list of live and leaving hosts. */
+  /** Reads the eventually consistent list of live and leaving hosts. */
   hosts(): ResultAsync<readonly HostEntry[], PlatformError>;
 }
--- a/packages/store/src/PlatformHttp.ts
+++ b/packages/store/src/PlatformHttp.ts
@@ -10,17 +10,18 @@
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: unknown;
-  /** Milliseconds after which the call is given up. */
+  /** Timeout in milliseconds. */
   readonly timeoutMs: Millis;
-  /** Ends the call early. */
+  /** Aborts the call. */
   readonly signal?: AbortSignal;
 }
 
-/** A whole answer of the platform. */
+/** A complete response of the platform. */
 export interface PlatformAnswer {
   readonly status: number;
+  /** Value of the `retry-after` header, in milliseconds. */
   readonly retryAfterMs: Millis;
-  /** The parsed body; undefined where there is none. */
+  /** The parsed body; undefined where it is empty or no JSON. */
   readonly body: unknown;
 }
 
@@ -29,31 +30,30 @@
   /** Base URL of the platform, such as `http://127.0.0.1:9000`. */
   readonly baseUrl: string;
   readonly clock: Clock;
-  /** Connections to the platform; one agent of this size is made unless a dispatcher is given. */
+  /** Maximum number of connections; ignored where a dispatcher is set. */
   readonly connections?: number;
   readonly dispatcher?: Dispatcher;
 }
 
 /**
- * Largest answer that is read, in bytes. A value holds a megabyte and a list holds several; a
- * platform that answers without end must not fill a host's memory.
+ * Maximum size of a response, in bytes. A value holds up to 1 MB and a list several of them; an
+ * endless response must not exhaust a host's memory.
  */
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
-/** Used where the platform names no time with a 429, in milliseconds. */
+/** Retry delay where the platform sends no `retry-after` header, in milliseconds. */
 const DEFAULT_RETRY_AFTER_MS = 1000;
 
-/** Connections of one host to the platform: a few watches wait while short calls go on. */
+/** Default number of connections; leaves room for short calls beside a few waiting watches. */
 const DEFAULT_CONNECTIONS = 16;
 
 /**
- * Milliseconds that making a connection may take. A host that is cut off sends its opening packet in
- * vain, and the system sends it again after seconds only; a new connection gets through at once when
- * the cut has healed.
+ * Connect timeout in milliseconds. During a network partition the SYN packet is lost, and the system
+ * retransmits it only after seconds; a new connection succeeds as soon as the partition has healed.
  */
 const CONNECT_TIMEOUT_MS: Millis = 500;
 
-/** Carries single calls to the platform over HTTP, with a deadline on the project's clock. */
+/** Makes HTTP calls to the platform, with timeouts on the given clock. */
 export class PlatformHttp {
   private readonly baseUrl: string;
 
@@ -61,32 +61,32 @@
 
   private readonly connections: number;
 
-  /** Connections that were given from outside, which are not this class's to renew. */
-  private readonly given: Dispatcher | undefined;
+  /** Dispatcher from the options, which this class never replaces. */
+  private readonly fixedDispatcher: Dispatcher | undefined;
 
   private dispatcher: Dispatcher;
 
-  /** @param options - Where the platform is and what the calls run on. */
+  /** @param options - The address of the platform, the clock and the connections. */
   constructor(options: PlatformHttpOptions) {
     this.baseUrl = options.baseUrl.replace(/\/+$/, '');
     this.clock = options.clock;
     this.connections = options.connections ?? DEFAULT_CONNECTIONS;
-    this.given = options.dispatcher;
+    this.fixedDispatcher = options.dispatcher;
     this.dispatcher = options.dispatcher ?? this.newAgent();
   }
 
   /**
-   * Makes one call and reads its whole answer.
+   * Makes one call and reads the complete response.
    *
-   * @param call - What to send.
-   * @returns The answer, or `unavailable` when there is none; a write may have taken effect then.
+   * @param call - The request.
+   * @returns The response, or `unavailable` without one; a write may have taken effect then.
    */
   call(call: PlatformCall): ResultAsync<PlatformAnswer, PlatformError> {
-    if (call.signal?.aborted) return errAsync(unavailable('the call was ended by its caller'));
+    if (call.signal?.aborted) return errAsync(unavailable('the call was aborted by its caller'));
     return new ResultAsync(this.run(call));
   }
 
-  /** Closes the connections; calls under way end with `unavailable`. */
+  /** Closes the connections; calls in flight fail with `unavailable`. */
   async close(): Promise<void> {
     await this.dispatcher.destroy();
   }
@@ -94,13 +94,13 @@
   private async run(call: PlatformCall): Promise<Result<PlatformAnswer, PlatformError>> {
     const abort = new AbortController();
     const end = (): void => abort.abort();
-    // A connection can go silent for good; the deadline on our own clock is what ends the call.
+    // A dead connection reports no error, so only this timer ends the call.
     const cancel = this.clock.after(call.timeoutMs, end);
     call.signal?.addEventListener('abort', end, { once: true });
     try {
       return ok(await Promise.race([this.exchange(call, abort.signal), rejectOn(abort.signal)]));
     } catch (error) {
-      if (abort.signal.aborted) this.renew();
+      if (abort.signal.aborted) this.replaceConnections();
       return err(unavailable(describe(error, abort.signal.aborted, call)));
     } finally {
       cancel();
@@ -109,13 +109,13 @@
   }
 
   /**
-   * Leaves all connections so far; calls that are under way on them may end.
+   * Replaces the connection pool; calls in flight on the old connections may complete.
    *
-   * Where one connection has gone silent, something on the way has lost track of it, and most likely
-   * of its siblings too. Each call that tried one of them would wait for its deadline.
+   * Where one connection is dead, a middlebox has probably dropped its state and that of the other
+   * connections too. Each call on one of them would wait for its timeout.
    */
-  private renew(): void {
-    if (this.given !== undefined) return;
+  private replaceConnections(): void {
+    if (this.fixedDispatcher !== undefined) return;
     const old = this.dispatcher;
     this.dispatcher = this.newAgent();
     void old.close();
@@ -149,19 +149,19 @@
 }
 
 /**
- * Rejects when a signal is aborted. undici takes an abort into account only once a request has its
- * connection, so a call that waits for one would outlive its deadline by seconds, and a change of the
- * configuration would be seen that much later.
+ * Rejects when a signal is aborted. undici handles an abort only once a request has a connection, so a
+ * call that waits for a connection would exceed its timeout by seconds and delay a configuration
+ * change as long.
  */
 function rejectOn(signal: AbortSignal): Promise<never> {
   return new Promise((_, reject) => {
-    signal.addEventListener('abort', () => reject(new Error('ended by its deadline')), {
+    signal.addEventListener('abort', () => reject(new Error('the call was aborted')), {
       once: true,
     });
   });
 }
 
-/** Makes the error for a call that got no answer. */
+/** Creates the error of a call without a valid response. */
 export function unavailable(message: string): PlatformError {
   return { type: 'unavailable', message };
 }
@@ -172,13 +172,13 @@
   for await (const part of body) {
     const bytes = part as Buffer;
     size += bytes.length;
-    if (size > MAX_ANSWER_BYTES) throw new Error('the answer is too large');
+    if (size > MAX_RESPONSE_BYTES) throw new Error('the response exceeds the size limit');
     parts.push(bytes);
   }
   return Buffer.concat(parts).toString('utf8');
 }
 
-/** A body that is no JSON (a proxy's error page) counts as none; the schemas reject it later. */
+/** Parses a body; one that is no JSON, such as a proxy's error page, is left to the schemas to reject. */
 function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
@@ -193,7 +193,7 @@
 }
 
 function describe(error: unknown, aborted: boolean, call: PlatformCall): string {
-  if (call.signal?.aborted) return 'the call was ended by its caller';
-  if (aborted) return `no answer within ${call.timeoutMs} ms`;
+  if (call.signal?.aborted) return 'the call was aborted by its caller';
+  if (aborted) return `no response within ${call.timeoutMs} ms`;
   return error instanceof Error ? error.message : String(error);
 }
--- a/packages/store/src/wire.ts
+++ b/packages/store/src/wire.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
-/** Checks an object as the platform sends it. */
+/** Schema of a stored object. */
 export const storedObjectSchema = z.object({
   kind: z.string(),
   name: z.string(),
@@ -8,13 +8,13 @@
   value: z.unknown(),
 });
 
-/** Checks the answer to a refused conditional write. */
+/** Schema of the response to a write whose precondition failed. */
 export const conflictSchema = z.object({ current: storedObjectSchema.optional() });
 
-/** Checks the answer to a list. */
+/** Schema of a list response. */
 export const listSchema = z.object({ objects: z.array(storedObjectSchema) });
 
-/** Checks the answer to a watch. */
+/** Schema of a watch response. */
 export const watchBatchSchema = z.object({
   events: z.array(
     z.discriminatedUnion('type', [
@@ -30,7 +30,7 @@
   next: z.int().nonnegative(),
 });
 
-/** Checks the platform's list of hosts. */
+/** Schema of the platform's host list. */
 export const hostListSchema = z.object({
   hosts: z.array(
     z.object({
--- a/packages/store/tests/CallBudget.test.ts
+++ b/packages/store/tests/CallBudget.test.ts
@@ -11,9 +11,9 @@
 const drain = (budget: CallBudget, take: () => boolean): number =>
   take() ? 1 + drain(budget, take) : 0;
 
-test('status stops first and membership can use the last call', () => {
-  // A host is busy with claims and status reports when its group has to change. Were the budget
-  // gone, the host could not confirm its epoch and would refuse every caller.
+test('status calls are refused first and membership can use the last call', () => {
+  // A host makes many claim and status calls when its group changes. With an exhausted budget it could
+  // not confirm its epoch and would refuse every caller.
   const budget = new CallBudget(new VirtualClock(), RATES);
   const used = (priority: 'status' | 'claims' | 'config' | 'membership'): number =>
     drain(budget, () => budget.take('write', priority).isOk());
@@ -23,7 +23,7 @@
   );
 });
 
-test('a call that does not fit is refused at once and told when it would fit', async () => {
+test('a call over the budget is refused at once with the time after which it would fit', async () => {
   const clock = new VirtualClock();
   const budget = new CallBudget(clock, RATES);
   drain(budget, () => budget.take('write', 'claims').isOk());
@@ -33,9 +33,9 @@
   assert.ok(budget.take('write', 'claims').isOk());
 });
 
-test('a platform that answers 429 is left alone by every part of the host but membership', async () => {
-  // Many hosts together ask too much. If only the part that was told waited, the others of the
-  // same host would go on and every caller of the platform would be slowed.
+test('after a 429 of the platform only membership calls continue', async () => {
+  // The hosts together exceed the rate limit. If only the refused component paused, the others of the
+  // same host would continue and slow every client of the platform.
   const clock = new VirtualClock();
   const store = new MemoryObjectStore(clock);
   const budget = new CallBudget(clock, RATES);
@@ -57,14 +57,14 @@
   assert.ok((await drive(clock, claims.get('claim', 'a'))).isOk());
 });
 
-test('a change of rates mints no calls', () => {
+test('a change of rates adds no tokens', () => {
   const budget = new CallBudget(new VirtualClock(), RATES);
   drain(budget, () => budget.take('write', 'membership').isOk());
   budget.setRates({ readsPerSecond: 800, writesPerSecond: 200 });
   assert.equal(budget.left('write'), 0);
 });
 
-test('a host refused by its own budget does not pause its other parts', async () => {
+test('a refusal by the own budget does not pause other components', async () => {
   const clock = new VirtualClock();
   const budget = new CallBudget(clock, RATES);
   drain(budget, () => budget.take('read', 'status').isOk());
@@ -72,23 +72,23 @@
   assert.ok(budget.take('read', 'claims').isOk());
 });
 
-test('waits double up to their bound, differ between hosts and start over after a success', () => {
-  const waits = (seed: number): readonly number[] => {
+test('back-off delays double up to their bound, differ between hosts and reset after a success', () => {
+  const delays = (seed: number): readonly number[] => {
     const backoff = new Backoff(new RandomSource(seed), { baseMs: 100, maxMs: 1000 });
     return Array.from({ length: 8 }, () => backoff.next());
   };
   const bounds = [100, 200, 400, 800, 1000, 1000, 1000, 1000];
-  assert.ok(waits(1).every((wait, i) => wait <= bounds[i]! && wait >= bounds[i]! / 4));
-  assert.notDeepEqual(waits(1), waits(2));
+  assert.ok(delays(1).every((delay, i) => delay <= bounds[i]! && delay >= bounds[i]! / 4));
+  assert.notDeepEqual(delays(1), delays(2));
   const backoff = new Backoff(new RandomSource(3), { baseMs: 100, maxMs: 1000 });
   backoff.next();
   backoff.reset();
   assert.ok(backoff.next() <= 100);
 });
 
-test('a host whose callers all come to it may use more than its part while the platform copes', async () => {
-  // One caller keeps to one host for a while and issues more certificates than that host's part of
-  // the platform's writes. Refusals would hit it although the fleet as a whole asks for little.
+test('a busy host may exceed its share while the platform accepts all calls', async () => {
+  // One caller stays with one host and issues more certificates than that host's share of the
+  // platform's writes allows. It must not be refused while the fleet as a whole makes few writes.
   const clock = new VirtualClock();
   const budget = new CallBudget(clock, RATES);
   const take = (): boolean => budget.take('write', 'membership').isOk();
--- a/packages/store/tests/HttpObjectStore.test.ts
+++ b/packages/store/tests/HttpObjectStore.test.ts
@@ -7,12 +7,12 @@
 import { HttpObjectStore } from '@camphorvane/store';
 import { errorOf, valueOf } from './support/results.ts';
 
-type Answer = (req: IncomingMessage, res: ServerResponse) => void;
+type Handler = (req: IncomingMessage, res: ServerResponse) => void;
 
 const STORED = { kind: 'config', name: 'root', version: 7, value: { a: 1 } };
 
-async function serve(t: TestContext, answer: Answer, clock = new VirtualClock()) {
-  const server = createServer(answer);
+async function serve(t: TestContext, handler: Handler, clock = new VirtualClock()) {
+  const server = createServer(handler);
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
@@ -26,7 +26,7 @@
 }
 
 const json =
-  (status: number, body: unknown, seen: string[] = []): Answer =>
+  (status: number, body: unknown, seen: string[] = []): Handler =>
   (req, res) => {
     const { 'if-match': match, 'if-none-match': none } = req.headers;
     seen.push(`${req.method} ${req.url} ${match ?? none ?? '-'}`);
@@ -34,7 +34,7 @@
     res.end(body === undefined ? undefined : JSON.stringify(body));
   };
 
-test('calls follow the protocol: paths, conditions and answers', async (t) => {
+test('calls follow the protocol: paths, conditions and responses', async (t) => {
   const seen: string[] = [];
   const { store } = await serve(t, json(200, STORED, seen));
   assert.deepEqual(valueOf(await store.get('config', 'a/b')), STORED);
@@ -51,7 +51,7 @@
   ]);
 });
 
-test('each answer of the platform becomes its typed outcome', async (t) => {
+test('each response of the platform maps to a typed result', async (t) => {
   const outcome = async (status: number, body?: unknown): Promise<unknown> => {
     const { store } = await serve(t, json(status, body));
     return errorOf(await store.put('config', 'root', {}, 6));
@@ -61,21 +61,21 @@
   assert.deepEqual(await outcome(429), { type: 'over_budget', retryAfterMs: 2000 });
   assert.deepEqual(await outcome(503), {
     type: 'unavailable',
-    message: 'the platform answered 503',
+    message: 'the platform responded with status 503',
   });
   assert.equal(((await outcome(413)) as { type: string }).type, 'invalid');
 });
 
-test('an answer that cannot be understood leaves open whether the write took effect', async (t) => {
-  // Something between host and platform answers with a page of its own. Taking it for a refusal
-  // would let the host say "not run" about a claim that is stored.
+test('an invalid response leaves open whether the write took effect', async (t) => {
+  // A proxy between host and platform responds with its own page. Taking it for a refusal would make
+  // the host report a call as not run although its claim is stored.
   const { store } = await serve(t, (req, res) => res.end('<html>gateway</html>'));
   assert.equal(errorOf(await store.put('claim', 'x', {}, 'absent')).type, 'unavailable');
 });
 
-test('a connection that goes silent ends in unavailable after the timeout', async (t) => {
-  // The platform takes the connection and the request and never answers. Without a deadline the
-  // host's task would wait for good and no caller would hear of it.
+test('a call on a dead connection fails as unavailable after the timeout', async (t) => {
+  // The platform accepts the connection and the request and never responds. Without a timeout the call
+  // would wait forever without an error.
   const clock = new VirtualClock();
   const { store, server } = await serve(t, () => undefined, clock);
   const arrived = once(server, 'request');
@@ -83,10 +83,10 @@
   await arrived;
   await clock.advance(2000);
   const error = errorOf(await pending);
-  assert.deepEqual(error, { type: 'unavailable', message: 'no answer within 2000 ms' });
+  assert.deepEqual(error, { type: 'unavailable', message: 'no response within 2000 ms' });
 });
 
-test('a watch may wait as long as it asked for, and ends when its caller ends it', async (t) => {
+test('a watch may wait for its full duration and ends when its caller aborts it', async (t) => {
   const clock = new VirtualClock();
   const { store, server } = await serve(t, () => undefined, clock);
   const abort = new AbortController();
@@ -99,6 +99,6 @@
   const error = errorOf(await pending);
   assert.deepEqual(error, {
     type: 'unavailable',
-    message: 'the call was ended by its caller',
+    message: 'the call was aborted by its caller',
   });
 });
--- a/packages/store/tests/HttpProtocol.test.ts
+++ b/packages/store/tests/HttpProtocol.test.ts
@@ -18,7 +18,7 @@
   return { memory, store };
 }
 
-test('client and stand-in agree on objects, conditions, lists and watches', async (t) => {
+test('the client and the platform stand-in agree on objects, conditions, lists and watches', async (t) => {
   const { memory, store } = await connect(t);
   const first = valueOf(await store.put('claim', 'a/1', { n: 1 }, 'absent'));
   const refused = errorOf(await store.put('claim', 'a/1', { n: 2 }, 'absent'));
@@ -35,7 +35,7 @@
   assert.equal(errorOf(await store.list('claim', '')).type, 'unavailable');
 });
 
-test('client and stand-in agree on the list of hosts', async (t) => {
+test('the client and the platform stand-in agree on the host list', async (t) => {
   const { store } = await connect(t);
   const entry = {
     id: 'h1',
--- a/packages/store/tests/PlatformHttp.test.ts
+++ b/packages/store/tests/PlatformHttp.test.ts
@@ -6,14 +6,14 @@
 import { PlatformHttp } from '@camphorvane/store';
 import type { Dispatcher } from 'undici';
 
-// Something between a host and the store loses track of all open connections: they stay open and say
-// nothing any more, while new ones work. A host that tries its old connections one after the other
-// learns of a change seconds too late, and refuses a caller by a configuration that is gone.
-test('after one connection went silent the next call uses a new one', async () => {
+// A middlebox drops the state of all open connections: they stay open without any response, while new
+// ones work. A host that tried its old connections in turn would learn of a configuration change
+// seconds too late and refuse callers by the old configuration.
+test('after a timeout on a dead connection the next call uses a new one', async () => {
   const open = new Set<Socket>();
-  const silent = new Set<Socket>();
+  const dead = new Set<Socket>();
   const server = createServer((req, res) => {
-    if (!silent.has(req.socket)) setTimeout(() => res.end('{}'), 20);
+    if (!dead.has(req.socket)) setTimeout(() => res.end('{}'), 20);
   });
   server.on('connection', (socket) => open.add(socket));
   await new Promise<void>((resolve) => {
@@ -27,7 +27,7 @@
     first.map((answer) => (answer.isOk() ? 'ok' : JSON.stringify(answer.error))),
     ['ok', 'ok', 'ok'],
   );
-  open.forEach((socket) => silent.add(socket));
+  open.forEach((socket) => dead.add(socket));
   assert.equal((await call(100)).isErr(), true);
   assert.equal((await call(500)).isOk(), true);
   await http.close();
@@ -35,10 +35,10 @@
   server.close();
 });
 
-// A host is cut off from the store, so a new connection to it can't be made, and nothing says so. A
-// call that waited for the connection instead of its own deadline would keep the host on an old
-// configuration for seconds after the cut has healed.
-test('a call that gets no connection ends at its own deadline', async () => {
+// During a network partition a new connection to the store can't be established, and no error is
+// reported. A call that waited for the connection beyond its own timeout would keep the host on an old
+// configuration for seconds after the partition has healed.
+test('a call without a connection ends at its own timeout', async () => {
   const never = { dispatch: () => true } as unknown as Dispatcher;
   const http = new PlatformHttp({
     baseUrl: 'http://127.0.0.1:1',
