--- a/packages/store/tests/support/OneObject.ts
+++ b/packages/store/tests/support/OneObject.ts
@@ -6,12 +6,13 @@
 
 type Write = ResultAsync<StoredObject, PlatformError>;
 
-/** A store with one object, whose answers can be lost. */
+/** A store with a single object, for tests with outages and lost responses. */
 export class OneObject {
   object: StoredObject | undefined;
 
   isDown = false;
 
+  /** Whether writes take effect without a response. */
   losesAnswer = false;
 
   private version = 40;
--- a/packages/store/tests/support/SuspendedClock.ts
+++ b/packages/store/tests/support/SuspendedClock.ts
@@ -1,22 +1,24 @@
 import type { Clock, VirtualClock } from '@camphorvane/core';
 
-/** A clock whose process can be suspended, which its steady time does not see, or whose time of day jumps. */
+/** A clock whose monotonic time stops during suspensions and whose wall time can be stepped. */
 export class SuspendedClock implements Clock {
+  /** Total time for which the process was suspended, in milliseconds. */
   suspendedMs = 0;
 
+  /** Step of the wall clock, in milliseconds. */
   wallStepMs = 0;
 
-  constructor(private readonly real: VirtualClock) {}
+  constructor(private readonly source: VirtualClock) {}
 
   now(): number {
-    return this.real.now() - this.suspendedMs;
+    return this.source.now() - this.suspendedMs;
   }
 
   wall(): number {
-    return this.real.wall() + this.wallStepMs;
+    return this.source.wall() + this.wallStepMs;
   }
 
   after(delay: number, run: () => void): () => void {
-    return this.real.after(delay, run);
+    return this.source.after(delay, run);
   }
 }
--- a/packages/store/tests/support/TimeoutStore.ts
+++ b/packages/store/tests/support/TimeoutStore.ts
@@ -10,7 +10,7 @@
 } from '@camphorvane/store';
 import { ResultAsync, errAsync } from 'neverthrow';
 
-/** A store whose caller gives up after a time, while the call goes on and may yet take effect. */
+/** A store whose calls time out for the caller while they continue and may still take effect. */
 export class TimeoutStore implements ObjectStore {
   constructor(
     private readonly inner: ObjectStore,
@@ -19,7 +19,7 @@
   ) {}
 
   get(kind: string, name: string): ResultAsync<StoredObject | undefined, PlatformError> {
-    return this.limited(this.inner.get(kind, name));
+    return this.withTimeout(this.inner.get(kind, name));
   }
 
   put(
@@ -28,15 +28,15 @@
     value: unknown,
     expected: Expected,
   ): ResultAsync<StoredObject, PlatformError> {
-    return this.limited(this.inner.put(kind, name, value, expected));
+    return this.withTimeout(this.inner.put(kind, name, value, expected));
   }
 
   remove(kind: string, name: string, expected: ObjectVersion): ResultAsync<void, PlatformError> {
-    return this.limited(this.inner.remove(kind, name, expected));
+    return this.withTimeout(this.inner.remove(kind, name, expected));
   }
 
   list(kind: string, prefix: string): ResultAsync<readonly StoredObject[], PlatformError> {
-    return this.limited(this.inner.list(kind, prefix));
+    return this.withTimeout(this.inner.list(kind, prefix));
   }
 
   watch(
@@ -49,13 +49,13 @@
   }
 
   hosts(): ResultAsync<readonly HostEntry[], PlatformError> {
-    return this.limited(this.inner.hosts());
+    return this.withTimeout(this.inner.hosts());
   }
 
-  private limited<T>(call: ResultAsync<T, PlatformError>): ResultAsync<T, PlatformError> {
-    const late = new Promise<void>((resolve) => {
+  private withTimeout<T>(call: ResultAsync<T, PlatformError>): ResultAsync<T, PlatformError> {
+    const timedOut = new Promise<void>((resolve) => {
       this.clock.after(this.timeoutMs, resolve);
     }).then(() => errAsync<T, PlatformError>({ type: 'unavailable', message: 'timeout' }));
-    return new ResultAsync(Promise.race([call, late]));
+    return new ResultAsync(Promise.race([call, timedOut]));
   }
 }
--- a/packages/store/tests/support/drive.ts
+++ b/packages/store/tests/support/drive.ts
@@ -4,7 +4,7 @@
 const STEP_MS = 5;
 const MAX_STEPS = 100_000;
 
-/** Moves time on until a promise is settled, and gets its value. */
+/** Advances the virtual time until a promise is settled, and gets its value. */
 export async function drive<T>(clock: VirtualClock, promise: PromiseLike<T>): Promise<T> {
   const state = { isDone: false };
   const finish = (): void => {
@@ -14,7 +14,7 @@
   let steps = 0;
   await clock.advance(0);
   while (!state.isDone) {
-    assert.ok(steps < MAX_STEPS, 'the promise never settles');
+    assert.ok(steps < MAX_STEPS, 'the promise did not settle within the maximum number of steps');
     await clock.advance(STEP_MS);
     steps += 1;
   }
--- a/packages/store/tests/support/publish.ts
+++ b/packages/store/tests/support/publish.ts
@@ -10,23 +10,23 @@
 import { drive } from './drive.ts';
 import { valueOf } from './results.ts';
 
-/** Makes a team that holds the digests given. */
+/** Creates a team with the given key digests. */
 export function team(id: string, keyDigests: readonly string[] = []): TeamConfig {
   const rate = { tokensPerSecond: 1000, burstTokens: 5000 };
   return { id, rate, keyDigests, models: [], weight: 1 };
 }
 
-/** Makes a configuration of teams only. */
+/** Creates a configuration with teams only. */
 export function configOf(...teams: readonly TeamConfig[]): RoutingConfig {
   return { teams, pools: [], services: [], waitRules: [] };
 }
 
-/** Makes a configuration of many teams. */
+/** Creates a configuration with many teams. */
 export function manyTeams(count: number): RoutingConfig {
   return configOf(...Array.from({ length: count }, (_, i) => team(`team-${i}`)));
 }
 
-/** Writes a configuration as an operator's apply does, without its checks. */
+/** Writes a configuration as the operator's `apply` command does, without its validation. */
 export async function publish(
   clock: VirtualClock,
   store: ObjectStore,
