--- a/packages/store/src/config/ChunkReader.ts
+++ b/packages/store/src/config/ChunkReader.ts
@@ -4,17 +4,17 @@
 import { CHUNK_KIND } from './ConfigRoot.ts';
 import { blobSchema } from './configSchema.ts';
 
-/** Texts by their digests. */
+/** Chunk texts by digest. */
 export type ChunkTexts = ReadonlyMap<string, string>;
 
 /**
- * Up to this many chunks are read one by one. More are read by lists of a sixteenth of all chunks
- * each: a host that starts with 20,000 teams needs some 300 chunks, which one by one would use up
- * the host's share of the platform's reads for a minute.
+ * Maximum number of chunks that are read one by one. More are read by up to 16 lists, one for each
+ * first digit of the digests: a host that starts with 20,000 teams needs some 300 chunks, and single
+ * reads of them would use up the host's share of the platform's read rate for a minute.
  */
 const MAX_SINGLE_READS = 16;
 
-/** Reads chunks from the platform and checks them against their digests. */
+/** Reads chunks from the platform and verifies their digests. */
 export class ChunkReader {
   private readonly store: ObjectStore;
 
@@ -26,8 +26,8 @@
   /**
    * Reads chunks.
    *
-   * @param digests - The chunks that are wanted.
-   * @returns Those that exist and are whole, others being left out; or why the platform failed.
+   * @param digests - Digests of the chunks.
+   * @returns The chunks that exist and match their digest, or the error of the platform.
    */
   read(digests: readonly string[]): ResultAsync<ChunkTexts, PlatformError> {
     const wanted = [...new Set(digests)];
@@ -40,10 +40,10 @@
     const results = await Promise.all(
       wanted.map((digest) => this.store.get(CHUNK_KIND, digest).map((found) => [found])),
     );
-    return collect(results, wanted);
+    return verifiedTexts(results, wanted);
   }
 
-  /** One list after another, so that only one large answer is held at a time. */
+  /** Lists sequentially, so that only one large response is in memory at a time. */
   private async readByPrefix(
     wanted: readonly string[],
   ): Promise<Result<ChunkTexts, PlatformError>> {
@@ -51,7 +51,7 @@
     const texts = new Map<string, string>();
     let next = 0;
     while (next < prefixes.length) {
-      const found = collect([await this.store.list(CHUNK_KIND, prefixes[next]!)], wanted);
+      const found = verifiedTexts([await this.store.list(CHUNK_KIND, prefixes[next]!)], wanted);
       if (found.isErr()) return err(found.error);
       found.value.forEach((text, digest) => texts.set(digest, text));
       next += 1;
@@ -62,7 +62,7 @@
 
 type Found = readonly (StoredObject | undefined)[];
 
-function collect(
+function verifiedTexts(
   results: readonly Result<Found, PlatformError>[],
   wanted: readonly string[],
 ): Result<ChunkTexts, PlatformError> {
@@ -74,13 +74,13 @@
     .flatMap((result) => result.unwrapOr([]))
     .filter((object) => object !== undefined && names.has(object.name))
     .forEach((object) => {
-      const text = chunkText(object!);
+      const text = verifiedText(object!);
       if (text !== undefined) texts.set(object!.name, text);
     });
   return ok(texts);
 }
 
-function chunkText(object: StoredObject): string | undefined {
+function verifiedText(object: StoredObject): string | undefined {
   const blob = blobSchema.safeParse(object.value);
   if (!blob.success) return undefined;
   return sha256Hex(blob.data.text) === object.name ? blob.data.text : undefined;
--- a/packages/store/src/config/ConfigAssembly.ts
+++ b/packages/store/src/config/ConfigAssembly.ts
@@ -2,59 +2,59 @@
 import { assembleConfig, type ConfigPart } from './ConfigPart.ts';
 import { readPart, type ConfigManifest } from './ConfigRoot.ts';
 
-interface HeldPart {
+interface CachedPart {
   readonly text: string;
   readonly part: ConfigPart;
 }
 
-/** The parts that a host holds, by digest; parts that stay the same keep their objects. */
+/** A cache of configuration parts by digest; unchanged parts keep their object identity. */
 export class ConfigAssembly {
-  private held = new Map<string, HeldPart>();
+  private cached = new Map<string, CachedPart>();
 
-  /** Gets the number of parts held. */
+  /** Gets the number of cached parts. */
   getSize(): number {
-    return this.held.size;
+    return this.cached.size;
   }
 
-  /** Gets the text of a part, to pass it on to a peer. */
+  /** Gets the text of a cached part, to serve it to a peer. */
   getText(digest: string): string | undefined {
-    return this.held.get(digest)?.text;
+    return this.cached.get(digest)?.text;
   }
 
   /**
-   * Gets what a manifest needs and is not held.
+   * Gets the parts of a manifest that are not cached.
    *
    * @param manifest - The manifest.
-   * @returns Digests.
+   * @returns The digests of the parts.
    */
   missing(manifest: ConfigManifest): readonly string[] {
-    return manifest.parts.map((part) => part.digest).filter((digest) => !this.held.has(digest));
+    return manifest.parts.map((part) => part.digest).filter((digest) => !this.cached.has(digest));
   }
 
   /**
-   * Takes a part in.
+   * Adds a part.
    *
-   * @param digest - Its digest.
-   * @param text - Its text.
-   * @returns False where the text has another digest or is not understood; it is not kept then.
+   * @param digest - The part's digest.
+   * @param text - The part's text.
+   * @returns False where the text has another digest or can't be parsed; it is not added then.
    */
   add(digest: string, text: string): boolean {
     const part = readPart(digest, text);
     if (part === undefined) return false;
-    this.held.set(digest, { text, part });
+    this.cached.set(digest, { text, part });
     return true;
   }
 
   /**
-   * Puts a configuration together and lets go of the parts that it does not use.
+   * Assembles a configuration and evicts the parts that it does not use.
    *
    * @param manifest - The manifest.
    * @returns The configuration, or undefined while parts are missing.
    */
   assemble(manifest: ConfigManifest): RoutingConfig | undefined {
-    const held = manifest.parts.map(({ digest }) => this.held.get(digest));
-    if (held.includes(undefined)) return undefined;
-    this.held = new Map(manifest.parts.map(({ digest }) => [digest, this.held.get(digest)!]));
-    return assembleConfig(held.map((entry) => entry!.part));
+    const cached = manifest.parts.map(({ digest }) => this.cached.get(digest));
+    if (cached.includes(undefined)) return undefined;
+    this.cached = new Map(manifest.parts.map(({ digest }) => [digest, this.cached.get(digest)!]));
+    return assembleConfig(cached.map((entry) => entry!.part));
   }
 }
--- a/packages/store/src/config/ConfigFollower.ts
+++ b/packages/store/src/config/ConfigFollower.ts
@@ -14,58 +14,59 @@
 
 /** Settings of {@link ConfigFollower}. */
 export interface ConfigFollowerOptions {
-  /** The platform, counted against the host's budget as `config`. */
+  /** The platform; its calls count against the host's budget with priority `config`. */
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly peers?: ConfigPeers;
-  /** Longest wait of one watch, in milliseconds. */
+  /** Maximum duration of one watch, in milliseconds. */
   readonly watchMs?: Millis;
-  /** Bound of the random wait before a changed part is fetched, in milliseconds. */
+  /** Maximum random delay before a changed part is fetched, in milliseconds. */
   readonly spreadMs?: Millis;
 }
 
-/** What a follower shows in the host's state dump. */
+/** State of a follower in the host's state dump. */
 export interface ConfigFollowerState {
-  /** Version in force, 0 before the first. */
+  /** Active version; 0 before the first. */
   readonly version: ObjectVersion;
-  /** Highest version heard of. */
+  /** Highest known version, active or not. */
   readonly knownVersion: ObjectVersion;
   readonly confirmedMsAgo: Millis | undefined;
   readonly parts: number;
-  /** Why the newest version is not in force; absent when it is. */
+  /** Why the newest version is not active; absent when it is. */
   readonly problem?: string;
 }
 
-/** Is called with each configuration that comes into force. */
+/** Called with each configuration that becomes active, and the previous one. */
 export type ConfigListener = (config: VersionedConfig, before: VersionedConfig | undefined) => void;
 
 /**
- * A watch that waits is what confirms the version, so it must end well within the seconds after
- * which a host refuses for want of confirmation. At 350 hosts this makes 233 reads a second.
+ * Default duration of a watch in milliseconds. Completed watches confirm the version, so each must end
+ * well within {@link CONFIRMATION_LIMIT_MS}. With 350 hosts this makes 233 reads a second.
  */
 const DEFAULT_WATCH_MS = 1500;
 
 /**
- * All hosts hear of a change at once. Spread over a second, the reads of a changed part by 350
- * hosts stay below a fifth of the platform's rate, and the change is still in force within six.
+ * Default jitter in milliseconds. All hosts detect a change at the same time; spread over a second, the
+ * reads of a changed part by 350 hosts use less than a fifth of the platform's rate, and the change is
+ * still active within six seconds.
  */
 const DEFAULT_SPREAD_MS = 1000;
 
 /**
- * Longest time without a confirmation, in milliseconds, for which keys are taken. It bounds how long
- * a withdrawn key works at a host that is cut off from everything; below it lie two watches and the
- * deadline of a call that got no answer, so that one lost call refuses nobody.
+ * Maximum time in milliseconds without a confirmation for which keys are accepted. Limits how long a
+ * withdrawn key works on a partitioned host; longer than two watches plus the timeout of a call, so
+ * that a single lost call causes no refusal.
  */
 export const CONFIRMATION_LIMIT_MS = 5000;
 
-/** After an outage hosts come back spread over this time, in milliseconds. */
+/** Bounds of the retry delay during an outage; its jitter spreads the hosts' reads afterwards. */
 const RETRY: { readonly baseMs: Millis; readonly maxMs: Millis } = { baseMs: 250, maxMs: 4000 };
 
-/** Milliseconds between two looks for a confirmation that somebody waits for. */
-const CONFIRM_STEP_MS = 20;
+/** Interval of the checks while a caller waits for a confirmation, in milliseconds. */
+const CONFIRM_CHECK_MS = 20;
 
-interface SeenRoot {
+interface ReceivedRoot {
   readonly object: StoredObject;
   readonly root: ConfigRoot;
 }
@@ -73,8 +74,8 @@
 /**
  * Keeps a host on the newest accepted configuration.
  *
- * It takes only higher versions, from the platform or from peers, fetches only the parts that it
- * does not hold, and puts a version in force only when it is whole.
+ * It accepts only increasing versions, from the platform or from peers, fetches only the parts that
+ * are not cached, and activates a version only when all its parts are present.
  */
 export class ConfigFollower {
   private readonly options: ConfigFollowerOptions;
@@ -83,7 +84,7 @@
 
   private readonly reader: ChunkReader;
 
-  private readonly assembly = new ConfigAssembly();
+  private readonly partCache = new ConfigAssembly();
 
   private readonly backoff: Backoff;
 
@@ -95,21 +96,21 @@
 
   private round = new AbortController();
 
-  private inForce: { readonly config: VersionedConfig; readonly object: StoredObject } | undefined;
+  private active: { readonly config: VersionedConfig; readonly object: StoredObject } | undefined;
 
-  /** The newest root that was seen, until it is in force. */
-  private pending: SeenRoot | undefined;
+  /** The newest received root while it is not active yet. */
+  private pending: ReceivedRoot | undefined;
 
   private known: ObjectVersion = 0;
 
-  /** Where the next watch goes on; undefined until the root was read. */
+  /** Version from which the next watch continues; undefined until the root was read. */
   private after: ObjectVersion | undefined;
 
   private confirmed: Millis | undefined;
 
   private problem: string | undefined;
 
-  /** @param options - The platform, the peers, and what time and chance come from. */
+  /** @param options - The platform, the peers, the clock and the random source. */
   constructor(options: ConfigFollowerOptions) {
     this.options = options;
     this.peers = options.peers ?? NO_PEERS;
@@ -117,49 +118,49 @@
     this.backoff = new Backoff(options.random, RETRY);
   }
 
-  /** Starts the task; it runs until {@link stop}. */
+  /** Starts following until {@link stop}. */
   start(): void {
     this.task = this.run();
   }
 
-  /** Stops the task and waits for its end. */
+  /** Stops following and waits for the task to end. */
   async stop(): Promise<void> {
     this.stopped.abort();
     this.round.abort();
     await this.task;
   }
 
-  /** Gets the configuration in force, or undefined before the first one. */
+  /** Gets the active configuration; undefined before the first one. */
   current(): VersionedConfig | undefined {
-    return this.inForce?.config;
+    return this.active?.config;
   }
 
-  /** Gets the root of the configuration in force, to pass it on to a peer. */
+  /** Gets the root of the active configuration, to serve it to a peer. */
   root(): StoredObject | undefined {
-    return this.inForce?.object;
+    return this.active?.object;
   }
 
-  /** Gets the text of a part of the configuration in force, to pass it on to a peer. */
+  /** Gets the text of a part of the active configuration, to serve it to a peer. */
   chunk(digest: string): string | undefined {
-    return this.assembly.getText(digest);
+    return this.partCache.getText(digest);
   }
 
-  /** Gets the highest version that this host has heard of, in force or not; peers are told it. */
+  /** Gets the highest known version, active or not, which is sent to peers. */
   knownVersion(): ObjectVersion {
     return this.known;
   }
 
   /**
-   * Gets the last time, on the host's clock, at which no higher version than the one in force had
-   * been accepted, as far as the platform or a majority could tell; undefined before the first.
+   * Gets the last time, on the host's monotonic clock, at which the platform or a majority of the
+   * group confirmed that no version above the active one was accepted; undefined before the first.
    */
   confirmedAt(): Millis | undefined {
     return this.confirmed;
   }
 
   /**
-   * Tells whether the configuration in force may still be relied on: whether a key that it holds
-   * can have been withdrawn {@link CONFIRMATION_LIMIT_MS} ago without this host knowing.
+   * Tells whether the active configuration is confirmed: no key of it was withdrawn more than
+   * {@link CONFIRMATION_LIMIT_MS} ago without this host knowing.
    */
   isConfirmed(): boolean {
     if (this.confirmed === undefined) return false;
@@ -167,24 +168,24 @@
   }
 
   /**
-   * Asks the platform at once where the version is unconfirmed, as after a pause of the process: a
-   * watch that was sent before the pause confirms nothing, and ends only after its whole wait.
+   * Reads from the platform at once where the version is unconfirmed, for example after a pause of the
+   * process: a watch sent before the pause confirms nothing and ends only after its full duration.
    *
-   * @param waitMs - Milliseconds to wait for the confirmation.
-   * @returns True once the version is confirmed.
+   * @param waitMs - Maximum wait for the confirmation, in milliseconds.
+   * @returns Whether the version is confirmed.
    */
   async confirmNow(waitMs: Millis): Promise<boolean> {
     const { clock } = this.options;
     const until = clock.now() + waitMs;
     if (!this.isConfirmed()) this.round.abort();
     while (!this.isConfirmed() && clock.now() < until && !this.stopped.signal.aborted) {
-      await sleep(clock, CONFIRM_STEP_MS, this.stopped.signal);
+      await sleep(clock, CONFIRM_CHECK_MS, this.stopped.signal);
     }
     return this.isConfirmed();
   }
 
   /**
-   * Adds a listener for configurations that come into force.
+   * Adds a listener for configurations that become active.
    *
    * @param listener - Called with the new and the previous configuration.
    * @returns A function that removes the listener.
@@ -195,10 +196,10 @@
   }
 
   /**
-   * Notes the highest version that a majority of the group's members has heard of.
+   * Records the highest version that a majority of the group's members knows.
    *
-   * @param version - The highest of their `knownVersion()`.
-   * @param at - When the first of them was asked, on this host's clock.
+   * @param version - The maximum of the members' known versions.
+   * @param at - When the first of them was queried, on this host's monotonic clock.
    */
   noteMajorityConfirmed(version: ObjectVersion, at: Millis): void {
     this.known = Math.max(this.known, version);
@@ -206,14 +207,14 @@
     if (this.isBehind()) this.round.abort();
   }
 
-  /** Gets what the state dump shows. */
+  /** Gets the state for the state dump. */
   state(): ConfigFollowerState {
     const { clock } = this.options;
     return {
-      version: this.inForce?.config.version ?? 0,
+      version: this.active?.config.version ?? 0,
       knownVersion: this.known,
       confirmedMsAgo: this.confirmed === undefined ? undefined : clock.now() - this.confirmed,
-      parts: this.assembly.getSize(),
+      parts: this.partCache.getSize(),
       problem: this.problem,
     };
   }
@@ -221,30 +222,30 @@
   private async run(): Promise<void> {
     while (!this.stopped.signal.aborted) {
       this.round = new AbortController();
-      if (await this.askPlatform()) {
+      if (await this.followPlatform()) {
         this.backoff.reset();
       } else {
-        await this.askPeers();
+        await this.followPeers();
         await sleep(this.options.clock, this.backoff.next(), this.stopped.signal);
       }
     }
   }
 
-  /** Asks the platform once; true when it answered and its newest version is in force. */
-  private async askPlatform(): Promise<boolean> {
-    // The answer tells the state at some time after the call was sent, so that time is safe to use.
+  /** Reads or watches once; true when the platform responded and its newest version is active. */
+  private async followPlatform(): Promise<boolean> {
+    // The response reflects a state after the call was sent, so the send time is a safe lower bound.
     const sentAt = this.options.clock.now();
     const isUrgent = this.after === undefined || this.isBehind() || !this.isConfirmed();
     const isRead = isUrgent ? await this.readRoot() : await this.watchRoot();
-    if (!isRead || !(await this.settle())) return false;
+    if (!isRead || !(await this.activatePending())) return false;
     this.confirm(sentAt);
     return true;
   }
 
   private async readRoot(): Promise<boolean> {
     const found = await this.options.store.get(CONFIG_KIND, ROOT_NAME);
-    if (found.isErr()) return this.fail(`the platform does not answer: ${found.error.type}`);
-    if (found.value !== undefined) this.see(found.value);
+    if (found.isErr()) return this.fail(`reading the root failed: ${found.error.type}`);
+    if (found.value !== undefined) this.receiveRoot(found.value);
     this.after = found.value?.version ?? 0;
     return true;
   }
@@ -253,83 +254,83 @@
     const wait = this.options.watchMs ?? DEFAULT_WATCH_MS;
     const { signal } = this.round;
     const batch = await this.options.store.watch(CONFIG_KIND, this.after ?? 0, wait, signal);
-    if (batch.isErr()) return this.fail(`the platform does not answer: ${batch.error.type}`);
-    this.seeAll(batch.value);
+    if (batch.isErr()) return this.fail(`watching the root failed: ${batch.error.type}`);
+    this.receiveEvents(batch.value);
     this.after = Math.max(this.after ?? 0, batch.value.next);
     const isChanged = this.pending !== undefined;
-    if (isChanged) await this.spread();
+    if (isChanged) await this.delayByJitter();
     return true;
   }
 
-  private seeAll(batch: WatchBatch): void {
+  private receiveEvents(batch: WatchBatch): void {
     batch.events.forEach((event) => {
-      if (event.type === 'put' && event.object.name === ROOT_NAME) this.see(event.object);
+      if (event.type === 'put' && event.object.name === ROOT_NAME) this.receiveRoot(event.object);
     });
   }
 
-  private async spread(): Promise<void> {
+  private async delayByJitter(): Promise<void> {
     const bound = this.options.spreadMs ?? DEFAULT_SPREAD_MS;
     await sleep(this.options.clock, this.options.random.next() * bound, this.stopped.signal);
   }
 
-  private async askPeers(): Promise<void> {
+  private async followPeers(): Promise<void> {
     const object = await this.peers.newestRoot();
     if (object === undefined) return;
-    this.see(object);
-    await this.settle();
+    this.receiveRoot(object);
+    await this.activatePending();
   }
 
-  /** A root that is not newer is ignored, whoever sent it: a version in force is never undone. */
-  private see(object: StoredObject): void {
-    const newest = this.pending?.object.version ?? this.inForce?.config.version ?? 0;
+  /** Accepts a root only where it is newer, whatever its source: an active version is never rolled back. */
+  private receiveRoot(object: StoredObject): void {
+    const newest = this.pending?.object.version ?? this.active?.config.version ?? 0;
     if (object.version <= newest) return;
     this.known = Math.max(this.known, object.version);
     const root = readRoot(object.value);
-    if (root === undefined) this.problem = `version ${object.version} is not understood`;
+    if (root === undefined) this.problem = `format of version ${object.version} is not understood`;
     else this.pending = { object, root };
   }
 
-  /** Puts the pending version in force once it is whole; true when nothing newer is known. */
-  private async settle(): Promise<boolean> {
+  /** Activates the pending version once its parts are present; true when no newer one is known. */
+  private async activatePending(): Promise<boolean> {
     const { pending } = this;
     if (pending === undefined) return !this.isBehind();
     await this.fetchFromPeers(pending.root);
     if (!(await this.fetchFromPlatform(pending.root))) return false;
-    const config = this.assembly.assemble(pending.root.manifest);
+    const config = this.partCache.assemble(pending.root.manifest);
     if (config === undefined) {
       return this.fail(`parts of version ${pending.object.version} are missing`);
     }
     this.pending = undefined;
     this.problem = undefined;
-    this.enforce({ version: pending.object.version, config }, pending.object);
+    this.activate({ version: pending.object.version, config }, pending.object);
     return !this.isBehind();
   }
 
-  /** Peers first: they hold nearly all parts already, and the platform's rates do not grow. */
+  /** Peers come first: they have nearly all parts, and the platform's rate limits do not scale. */
   private async fetchFromPeers(root: ConfigRoot): Promise<void> {
-    const missing = this.assembly.missing(root.manifest);
+    const missing = this.partCache.missing(root.manifest);
     let next = 0;
-    let isHeld = true;
-    // The first part that no peer holds ends it: each further question could run into a timeout.
-    while (isHeld && next < missing.length) {
+    let isFetched = true;
+    // Stops at the first part that no peer has: each further request could time out.
+    while (isFetched && next < missing.length) {
       const text = await this.peers.chunk(missing[next]!);
-      isHeld = text !== undefined && this.assembly.add(missing[next]!, text);
+      isFetched = text !== undefined && this.partCache.add(missing[next]!, text);
       next += 1;
     }
   }
 
   private async fetchFromPlatform(root: ConfigRoot): Promise<boolean> {
-    const missing = this.assembly.missing(root.manifest);
+    const missing = this.partCache.missing(root.manifest);
     if (missing.length === 0) return true;
     const texts = await this.reader.read(missing);
-    if (texts.isErr()) return this.fail(`parts can't be read: ${texts.error.type}`);
-    texts.value.forEach((text, digest) => this.assembly.add(digest, text));
+    if (texts.isErr()) return this.fail(`reading parts failed: ${texts.error.type}`);
+    texts.value.forEach((text, digest) => this.partCache.add(digest, text));
     return true;
   }
 
-  private enforce(config: VersionedConfig, object: StoredObject): void {
-    const before = this.inForce?.config;
-    this.inForce = { config, object };
+  private activate(config: VersionedConfig, object: StoredObject): void {
+    const before = this.active?.config;
+    this.active = { config, object };
     this.listeners.forEach((listener) => listener(config, before));
   }
 
@@ -339,7 +340,7 @@
   }
 
   private isBehind(): boolean {
-    return this.known > (this.inForce?.config.version ?? 0);
+    return this.known > (this.active?.config.version ?? 0);
   }
 
   private fail(problem: string): false {
--- a/packages/store/src/config/ConfigPart.ts
+++ b/packages/store/src/config/ConfigPart.ts
@@ -8,7 +8,7 @@
   type ZoneId,
 } from '@camphorvane/core';
 
-/** A piece of a configuration that is stored, fetched and compared on its own. */
+/** A part of a configuration that is stored, fetched and compared separately. */
 export type ConfigPart =
   | { readonly type: 'teams'; readonly teams: readonly TeamConfig[] }
   | { readonly type: 'pool'; readonly pool: PoolConfig }
@@ -16,46 +16,46 @@
   | { readonly type: 'wait_rules'; readonly rules: readonly WaitRule[] }
   | { readonly type: 'drained_zones'; readonly zones: readonly ZoneId[] };
 
-/** A part together with the name it has in a manifest. */
+/** A part with its name in the manifest. */
 export interface NamedPart {
   readonly name: string;
   readonly part: ConfigPart;
 }
 
 /**
- * Teams in one bucket on average. At about 250 bytes a team a changed bucket costs each host 16 KB,
- * and 20,000 teams make a manifest of some 50 KB; both together fit the 30 KB a second that a host
- * has for control many times over at a change a minute.
+ * Average number of teams in a bucket. At about 250 bytes a team, each host fetches 16 KB for a
+ * changed bucket, and the manifest of 20,000 teams has some 50 KB. At one change a minute both are a
+ * small part of the 30 KB a second that a host has for control traffic.
  */
 const TEAMS_PER_BUCKET = 64;
 
-/** Most buckets, so that the manifest stays far below the platform's limit on a value. */
+/** Maximum number of buckets; keeps the manifest far below the platform's limit on a value. */
 const MAX_BUCKETS = 1024;
 
-/** Values of `hashNumber` are below this. */
+/** Exclusive upper bound of `hashNumber`. */
 const HASH_RANGE = 2 ** 48;
 
 /**
  * Gets the number of buckets for a number of teams.
  *
- * @param teams - How many teams there are.
- * @param current - Buckets in use; kept while they are within a factor of four of the best number,
- * since another number changes every chunk at once.
+ * @param teams - Number of teams.
+ * @param current - Current number of buckets; kept while within a factor of four of the best number,
+ * since another number changes every chunk of the teams at once.
  * @returns A power of two.
  */
 export function bucketsFor(teams: number, current?: number): number {
-  const wanted = 2 ** Math.ceil(Math.log2(Math.max(1, teams / TEAMS_PER_BUCKET)));
-  const best = Math.min(MAX_BUCKETS, wanted);
-  const isNear = current !== undefined && best <= current * 4 && current <= best * 4;
-  return isNear ? current : best;
+  const ideal = 2 ** Math.ceil(Math.log2(Math.max(1, teams / TEAMS_PER_BUCKET)));
+  const best = Math.min(MAX_BUCKETS, ideal);
+  const isCloseEnough = current !== undefined && best <= current * 4 && current <= best * 4;
+  return isCloseEnough ? current : best;
 }
 
 /**
  * Splits a configuration into parts.
  *
  * @param config - The configuration.
- * @param buckets - Buckets for the teams, from {@link bucketsFor}.
- * @returns The parts, in the same order for the same configuration; empty buckets are left out.
+ * @param buckets - Number of buckets for the teams.
+ * @returns The parts in a deterministic order, without empty buckets.
  */
 export function splitConfig(config: RoutingConfig, buckets: number): readonly NamedPart[] {
   return [
@@ -70,15 +70,15 @@
       return { name: `service/${service.id}`, part };
     }),
     { name: 'wait_rules', part: { type: 'wait_rules', rules: config.waitRules } },
-    ...drainParts(config.drainedZones ?? []),
+    ...drainedZoneParts(config.drainedZones ?? []),
   ];
 }
 
 /**
- * Puts parts together again.
+ * Assembles a configuration from its parts.
  *
  * @param parts - All parts of one configuration, in the order of its manifest.
- * @returns The configuration; teams are ordered by bucket, then by name.
+ * @returns The configuration, with the teams ordered by bucket, then by identifier.
  */
 export function assembleConfig(parts: readonly ConfigPart[]): RoutingConfig {
   return {
@@ -90,8 +90,8 @@
   };
 }
 
-/** Left out while no zone is drained, so that hosts which don't know of drains can read the rest. */
-function drainParts(zones: readonly ZoneId[]): readonly NamedPart[] {
+/** Omitted while no zone is drained, so that hosts without support for drained zones can parse the rest. */
+function drainedZoneParts(zones: readonly ZoneId[]): readonly NamedPart[] {
   if (zones.length === 0) return [];
   const part = { type: 'drained_zones', zones: sorted(zones, (zone) => zone) } as const;
   return [{ name: 'drained_zones', part }];
@@ -109,12 +109,12 @@
     .sort(([a], [b]) => a - b)
     .map(([bucket, list]) => ({
       name: `teams/${bucket}`,
-      part: { type: 'teams', teams: sorted(list, (team) => team.id).map(plainTeam) },
+      part: { type: 'teams', teams: sorted(list, (team) => team.id).map(normalizeTeam) },
     }));
 }
 
-/** Key digests and models are sets; in a fixed order they give the same digest of the part. */
-function plainTeam(team: TeamConfig): TeamConfig {
+/** Sorts the key digests and models, which are sets, so that equal teams give equal digests of a part. */
+function normalizeTeam(team: TeamConfig): TeamConfig {
   return { ...team, keyDigests: [...team.keyDigests].sort(), models: [...team.models].sort() };
 }
 
--- a/packages/store/src/config/ConfigPeers.ts
+++ b/packages/store/src/config/ConfigPeers.ts
@@ -1,23 +1,23 @@
 import type { StoredObject } from '../ObjectStore.ts';
 
 /**
- * Where a host gets the configuration when the platform does not answer: from the other hosts of
- * its group. Both calls resolve within a time that the implementation bounds, and never reject.
+ * Gets the configuration from the other hosts of the group while the platform is unavailable. Both
+ * calls resolve within a bounded time and never reject.
  */
 export interface ConfigPeers {
-  /** Gets the root with the highest version that any reachable peer has in force. */
+  /** Gets the root with the highest version that is active at a reachable peer. */
   newestRoot(): Promise<StoredObject | undefined>;
 
   /**
    * Gets the text of a part.
    *
-   * @param digest - The part's digest; the text is checked against it.
-   * @returns The text, or undefined where no reachable peer holds it.
+   * @param digest - The part's digest; the caller verifies the text against it.
+   * @returns The text, or undefined where no reachable peer has it.
    */
   chunk(digest: string): Promise<string | undefined>;
 }
 
-/** Stands for a host that knows no peers. */
+/** Implementation for a host without peers. */
 export const NO_PEERS: ConfigPeers = {
   newestRoot: () => Promise.resolve(undefined),
   chunk: () => Promise.resolve(undefined),
--- a/packages/store/src/config/ConfigRoot.ts
+++ b/packages/store/src/config/ConfigRoot.ts
@@ -4,44 +4,44 @@
 import { bucketsFor, splitConfig } from './ConfigPart.ts';
 import { manifestSchema, partSchema, rootSchema } from './configSchema.ts';
 
-/** The kind of the object whose conditional update is the acceptance of a configuration. */
+/** Kind of the root object; a conditional update of it accepts a configuration. */
 export const CONFIG_KIND = 'config';
 
-/** The name of that object. */
+/** Name of the root object. */
 export const ROOT_NAME = 'root';
 
-/** The kind of the parts, which are named by the digest of their text. */
+/** Kind of the chunk objects, which are named by the digest of their text. */
 export const CHUNK_KIND = 'config-chunk';
 
-/** The kind of earlier manifests, named by digest, against which an operator may have worked. */
+/** Kind of earlier manifests, named by digest; an operator may have based a change on one of them. */
 export const MANIFEST_KIND = 'config-manifest';
 
-/** Which parts make up one configuration. */
+/** The list of the parts of one configuration. */
 export type ConfigManifest = z.infer<typeof manifestSchema>;
 
 /** One entry of a manifest. */
 export type PartReference = ConfigManifest['parts'][number];
 
-/** What the root holds: the configuration in force, and which ones went before it. */
+/** The value of the root object: the manifest of the accepted configuration, and earlier versions. */
 export type ConfigRoot = z.infer<typeof rootSchema>;
 
-/** A part as it is stored. */
+/** A part in its stored form. */
 export interface ConfigChunk extends PartReference {
   readonly text: string;
 }
 
-/** A configuration cut into what is stored. */
+/** A configuration in its stored form. */
 export interface ChunkedConfig {
   readonly manifest: ConfigManifest;
   readonly chunks: readonly ConfigChunk[];
 }
 
 /**
- * Cuts a configuration into chunks.
+ * Splits a configuration into chunks.
  *
  * @param config - The configuration.
- * @param currentBuckets - Buckets of the configuration it replaces, if there is one.
- * @returns The chunks and their manifest, the same for the same configuration and buckets.
+ * @param currentBuckets - Number of buckets of the configuration that it replaces, if any.
+ * @returns The chunks and their manifest; deterministic for the same configuration and buckets.
  */
 export function chunkConfig(config: RoutingConfig, currentBuckets?: number): ChunkedConfig {
   const buckets = bucketsFor(config.teams.length, currentBuckets);
@@ -54,7 +54,7 @@
 }
 
 /**
- * Gets a digest that is the same for configurations that say the same.
+ * Gets a digest that is equal for equivalent configurations.
  *
  * @param config - The configuration.
  * @returns 64 hexadecimal characters.
@@ -68,11 +68,11 @@
 }
 
 /**
- * Reads a part from its text.
+ * Parses a part.
  *
  * @param digest - The digest that the text must have.
  * @param text - The text, from the platform or from a peer.
- * @returns The part, or undefined where the text is another one or is not understood.
+ * @returns The part, or undefined where the digest differs or the text can't be parsed.
  */
 export function readPart(digest: string, text: string): ConfigPart | undefined {
   if (sha256Hex(text) !== digest) return undefined;
@@ -81,10 +81,10 @@
 }
 
 /**
- * Reads a root.
+ * Parses a root.
  *
  * @param value - The value of the stored object.
- * @returns The root, or undefined where it is not understood.
+ * @returns The root, or undefined where the value does not match the schema.
  */
 export function readRoot(value: unknown): ConfigRoot | undefined {
   const parsed = rootSchema.safeParse(value);
@@ -92,21 +92,21 @@
 }
 
 /**
- * Gets the text under which a manifest is kept.
+ * Serializes a manifest.
  *
  * @param manifest - The manifest.
- * @returns JSON, the same for the same manifest.
+ * @returns Deterministic JSON.
  */
 export function manifestText(manifest: ConfigManifest): string {
   return stableJson(manifest);
 }
 
 /**
- * Reads a manifest from its text.
+ * Parses a manifest.
  *
  * @param digest - The digest that the text must have.
  * @param text - The text.
- * @returns The manifest, or undefined where the text is another one or is not understood.
+ * @returns The manifest, or undefined where the digest differs or the text can't be parsed.
  */
 export function readManifest(digest: string, text: string): ConfigManifest | undefined {
   if (sha256Hex(text) !== digest) return undefined;
@@ -114,7 +114,7 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-/** JSON with the keys of each object in alphabetical order. */
+/** Serializes a value to JSON with sorted object keys. */
 export function stableJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
     if (typeof inner !== 'object' || inner === null || Array.isArray(inner)) return inner;
--- a/packages/store/src/config/KeyRing.ts
+++ b/packages/store/src/config/KeyRing.ts
@@ -1,101 +1,101 @@
 import { timingSafeEqual } from 'node:crypto';
 import { sha256Hex, type RoutingConfig, type TeamConfig, type TeamId } from '@camphorvane/core';
 
-/** What a caller's key stands for. */
+/** Result of the look-up of a caller's key. */
 export type KeyLookup =
   | { readonly type: 'team'; readonly team: TeamConfig; readonly digest: string }
   | { readonly type: 'withdrawn' }
   | { readonly type: 'unknown' };
 
-/** A key that a team held until this change; streams that it opened have to end. */
+/** A key that was withdrawn from a team; the streams opened with it must be closed. */
 export interface WithdrawnKey {
   readonly digest: string;
   readonly team: TeamId;
 }
 
-/** Is called with the keys that a change of configuration withdrew. */
+/** Called with the keys that a configuration change withdrew. */
 export type WithdrawalListener = (withdrawn: readonly WithdrawnKey[]) => void;
 
 /**
- * Withdrawn keys that are remembered, to tell their callers why they are refused. It bounds memory
- * only: a key that is forgotten is refused as unknown.
+ * Maximum number of withdrawn keys for which the reason of the refusal is stored. Older ones are
+ * refused as unknown, so the limit affects memory use only.
  */
 const MAX_WITHDRAWN = 10_000;
 
-/** Longest key that is hashed; a longer one can't be ours, and hashing it would cost time. */
+/** Maximum length of a key; longer ones are never issued, and hashing them would waste CPU time. */
 const MAX_KEY_LENGTH = 256;
 
-interface Holder {
+interface KeyOwner {
   readonly team: TeamConfig;
   readonly digest: string;
 }
 
-/** Finds the team of a key, by digest. */
+/** Maps API keys to teams by digest. */
 export class KeyRing {
-  private holders = new Map<string, Holder>();
+  private owners = new Map<string, KeyOwner>();
 
   private withdrawn = new Set<string>();
 
   private readonly listeners = new Set<WithdrawalListener>();
 
-  /** Gets the number of keys in force. */
+  /** Gets the number of active keys. */
   getSize(): number {
-    return this.holders.size;
+    return this.owners.size;
   }
 
   /**
    * Finds the team of a key.
    *
-   * The map is searched by the key's digest: how long that takes tells nothing about a key, since a
-   * caller can't choose digests. The digest itself is compared in constant time all the same.
+   * The timing of the map look-up leaks nothing about a key, since it uses the digest, which a caller
+   * can't choose. The digests are compared in constant time as well.
    *
    * @param key - The key as the caller sent it.
-   * @returns The team, or whether the key was withdrawn or never known.
+   * @returns The team, or whether the key was withdrawn or is unknown.
    */
   lookup(key: string): KeyLookup {
     if (key.length > MAX_KEY_LENGTH) return { type: 'unknown' };
     const digest = sha256Hex(key);
-    const holder = this.holders.get(digest);
-    if (holder !== undefined && isSame(holder.digest, digest)) {
-      return { type: 'team', team: holder.team, digest };
+    const owner = this.owners.get(digest);
+    if (owner !== undefined && equalInConstantTime(owner.digest, digest)) {
+      return { type: 'team', team: owner.team, digest };
     }
     return { type: this.withdrawn.has(digest) ? 'withdrawn' : 'unknown' };
   }
 
   /**
-   * Tells whether a key still stands for a team; asked before each stage of a long request.
+   * Tells whether a key still belongs to a team; checked before each stage of a long request.
    *
-   * @param digest - The digest that {@link lookup} gave.
-   * @param team - The team that it gave.
+   * @param digest - The digest from {@link lookup}.
+   * @param team - The team from {@link lookup}.
    * @returns False once the key was withdrawn or moved to another team.
    */
   isInForce(digest: string, team: TeamId): boolean {
-    return this.holders.get(digest)?.team.id === team;
+    return this.owners.get(digest)?.team.id === team;
   }
 
   /**
-   * Takes over the keys of a configuration and tells the listeners which keys went.
+   * Replaces the keys by those of a configuration and notifies the listeners of withdrawn keys.
    *
-   * @param config - The configuration that is in force now.
+   * @param config - The new active configuration.
    */
   update(config: RoutingConfig): void {
-    const before = this.holders;
-    this.holders = new Map(
+    const before = this.owners;
+    this.owners = new Map(
       config.teams.flatMap((team) =>
         team.keyDigests.map((digest) => [digest, { team, digest }] as const),
       ),
     );
-    const gone = [...before.values()]
+    const removed = [...before.values()]
       .filter(({ digest, team }) => !this.isInForce(digest, team.id))
       .map(({ digest, team }) => ({ digest, team: team.id }));
-    this.remember(gone);
-    if (gone.length > 0) this.listeners.forEach((listener) => listener(gone));
+    this.recordWithdrawn(removed);
+    if (removed.length > 0) this.listeners.forEach((listener) => listener(removed));
   }
 
   /**
    * Adds a listener for withdrawn keys.
    *
-   * @param listener - Called with the keys that a change withdrew.
+   * @param listener - Called with the keys that a configuration change withdrew.
    * @returns A function that removes the listener.
    */
   onWithdrawn(listener: WithdrawalListener): () => void {
@@ -103,13 +103,13 @@
     return () => this.listeners.delete(listener);
   }
 
-  private remember(gone: readonly WithdrawnKey[]): void {
-    const digests = [...this.withdrawn, ...gone.map(({ digest }) => digest)];
-    const kept = digests.filter((digest) => !this.holders.has(digest));
+  private recordWithdrawn(removed: readonly WithdrawnKey[]): void {
+    const digests = [...this.withdrawn, ...removed.map(({ digest }) => digest)];
+    const kept = digests.filter((digest) => !this.owners.has(digest));
     this.withdrawn = new Set(kept.slice(-MAX_WITHDRAWN));
   }
 }
 
-function isSame(a: string, b: string): boolean {
+function equalInConstantTime(a: string, b: string): boolean {
   return a.length === b.length && timingSafeEqual(Buffer.from(a), Buffer.from(b));
 }
--- a/packages/store/src/config/configSchema.ts
+++ b/packages/store/src/config/configSchema.ts
@@ -1,9 +1,9 @@
 import * as z from 'zod';
 
 /*
- * What hosts accept from the platform and from peers. Fields that are not known are ignored, so that
- * hosts of an older version go on while a newer one adds fields. Bounds on values are checked once,
- * before a configuration is accepted; a host checks only that it can act on what it reads.
+ * Schemas of the configuration that hosts read from the platform and from peers. Unknown fields are
+ * ignored, so that older hosts keep working when a newer version adds fields. Ranges of values are
+ * validated once, before a configuration is accepted; a host validates only the structure.
  */
 
 const workClass = z.enum(['lookup', 'certificate', 'summary']);
@@ -58,7 +58,7 @@
   maxWaitMs: z.number(),
 });
 
-/** Checks one part of a configuration. */
+/** Schema of one part of a configuration. */
 export const partSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('teams'), teams: z.array(team) }),
   z.object({ type: z.literal('pool'), pool }),
@@ -68,15 +68,15 @@
 ]);
 
 const manifest = z.object({
-  /** Buckets that the teams are spread over. */
+  /** Number of buckets over which the teams are distributed. */
   buckets: z.int().positive(),
   parts: z.array(z.object({ name: z.string(), digest: z.string(), bytes: z.int() })),
 });
 
-/** Checks a manifest. */
+/** Schema of a manifest. */
 export const manifestSchema = manifest;
 
-/** Checks the root. */
+/** Schema of the root. */
 export const rootSchema = z.object({
   format: z.literal(1),
   changeId: z.string(),
@@ -92,5 +92,5 @@
   ),
 });
 
-/** Checks a stored chunk or manifest. */
+/** Schema of a stored chunk or manifest. */
 export const blobSchema = z.object({ text: z.string(), touchedAt: z.number() });
--- a/packages/store/tests/config/ConfigFollower.test.ts
+++ b/packages/store/tests/config/ConfigFollower.test.ts
@@ -12,7 +12,7 @@
 import { drive } from '../support/drive.ts';
 import { configOf, manyTeams, publish, team } from '../support/publish.ts';
 
-const IN_FORCE_MS = 6000;
+const ACTIVE_WITHIN_MS = 6000;
 
 function setUp(t: TestContext) {
   const clock = new VirtualClock();
@@ -26,17 +26,17 @@
   return { clock, store, start };
 }
 
-/** Lets a host get its configuration from another one, as the relay between hosts does. */
+/** Peers that serve the configuration of another host, as the relay between hosts does. */
 const relay = (source: ConfigFollower): ConfigPeers => ({
   newestRoot: () => Promise.resolve(source.root()),
   chunk: (digest) => Promise.resolve(source.chunk(digest)),
 });
 
-test('an accepted change is in force within six seconds, at the price of the changed part', async (t) => {
+test('an accepted change is active within six seconds and only the changed part is read', async (t) => {
   const { clock, store, start } = setUp(t);
   await publish(clock, store, manyTeams(1000));
   const follower = start();
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(follower.current()?.config.teams.length, 1000);
   const changed = manyTeams(1000).teams.map((entry) =>
     entry.id === 'team-7' ? { ...entry, weight: 3 } : entry,
@@ -45,14 +45,14 @@
   const { reads } = store.calls;
   const seen: number[] = [];
   follower.onChange((config, before) => seen.push(before!.version, config.version));
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(seen.at(-1), root.version);
   assert.equal(follower.current()?.config.teams.find(({ id }) => id === 'team-7')?.weight, 3);
-  // Six seconds of watches that wait 1.5 s, and one part.
+  // Watches of 1.5 s each during six seconds, and one part.
   assert.ok(store.calls.reads - reads <= 6, `${store.calls.reads - reads} reads`);
 });
 
-test('a host that starts with very many parts reads them by a few lists', async (t) => {
+test('a host that starts with very many parts reads them with a few list calls', async (t) => {
   const { clock, store, start } = setUp(t);
   await publish(clock, store, manyTeams(4000));
   const { reads } = store.calls;
@@ -62,9 +62,9 @@
   assert.ok(store.calls.reads - reads <= 18, `${store.calls.reads - reads} reads`);
 });
 
-test('a host that starts during an outage takes the configuration from a peer', async (t) => {
-  // Hosts keep nothing on disk. One that is replaced while the platform is down would know no team
-  // at all, and refuse every caller until the platform is back.
+test('a host that starts during an outage gets the configuration from a peer', async (t) => {
+  // Hosts store nothing on disk. Without peers, a host replaced during an outage of the platform would
+  // know no teams and refuse every caller until the outage ends.
   const { clock, store, start } = setUp(t);
   await publish(clock, store, manyTeams(300));
   const old = start();
@@ -78,27 +78,27 @@
   assert.equal(fresh.isConfirmed(), true);
 });
 
-test('a host that wakes with an old version does not bring it back anywhere', async (t) => {
-  // A host sleeps while a key is withdrawn, wakes during an outage and is the first that a restarted
-  // host asks. The withdrawn key must not come to life at hosts that know better.
+test('a host that resumes with an old version does not roll back other hosts', async (t) => {
+  // A host is suspended while a key is withdrawn, and during an outage is the peer that another host
+  // queries. The withdrawn key must not become active again on a host with the newer version.
   const { clock, store, start } = setUp(t);
   await publish(clock, store, configOf(team('a', ['d1'])));
-  const asleep = start();
+  const suspended = start();
   await clock.advance(1000);
-  await drive(clock, asleep.stop());
-  const host = start(relay(asleep), 2);
+  await drive(clock, suspended.stop());
+  const host = start(relay(suspended), 2);
   await clock.advance(1000);
   const second = await publish(clock, store, configOf(team('a')));
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   store.setFaults({ down: true });
   await clock.advance(20_000);
   assert.equal(host.current()?.version, second.version);
   assert.deepEqual(host.current()?.config.teams[0]?.keyDigests, []);
 });
 
-test('a host that is cut off from platform and majority stops relying on its keys in seconds', async (t) => {
-  // The host still reaches its callers and nobody else. A key that is withdrawn meanwhile would go
-  // on working there for as long as the cut lasts.
+test('a host partitioned from platform and majority stops trusting its keys within seconds', async (t) => {
+  // Only callers still reach the host. A key that is withdrawn meanwhile would otherwise work there
+  // until the partition heals.
   const { clock, store, start } = setUp(t);
   await publish(clock, store, configOf(team('a')));
   const host = start();
@@ -108,11 +108,11 @@
   await clock.advance(5001);
   assert.equal(host.isConfirmed(), false);
   store.setFaults({ down: false });
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(host.isConfirmed(), true);
 });
 
-test('without changes a healthy platform keeps the version confirmed at every moment', async (t) => {
+test('without changes a healthy platform keeps the version confirmed at all times', async (t) => {
   const { clock, store, start } = setUp(t);
   await publish(clock, store, configOf(team('a')));
   const host = start();
@@ -128,9 +128,9 @@
   assert.ok(Math.max(...ages) < 3200, `unconfirmed for ${Math.max(...ages)} ms`);
 });
 
-test('a majority that has heard of a newer version unsettles the host until it has that version', async (t) => {
-  // One host loses its path to the platform while the others do not. It learns from them that a
-  // change was accepted, and has to stop trusting its keys before it has the change itself.
+test('a newer version known to the majority revokes the confirmation until the host has it', async (t) => {
+  // One host loses the connection to the platform and the others do not. It learns from them that a
+  // change was accepted, and must stop trusting its keys before it has the change itself.
   const { clock, store, start } = setUp(t);
   await publish(clock, store, configOf(team('a', ['d1'])));
   const informed = start();
@@ -155,17 +155,17 @@
   const changed = await publish(clock, store, configOf(team('a')));
   await clock.advance(2000);
   host.noteMajorityConfirmed(changed.version, clock.now());
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(host.isConfirmed(), false);
   shown.isVisible = true;
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   host.noteMajorityConfirmed(changed.version, clock.now());
   assert.deepEqual([host.current()?.version, host.isConfirmed()], [changed.version, true]);
 });
 
-test('a version that this program does not understand stops confirmation, not service of the old one', async (t) => {
-  // A newer program has changed the form of the root while old hosts still run. They can't know
-  // which keys it withdraws, so they keep what they have and say that it is unconfirmed.
+test('a version with an unsupported format stops the confirmation but keeps the old version active', async (t) => {
+  // A newer release changes the format of the root while old hosts still run. They can't know which
+  // keys it withdraws, so they keep their version and report it as unconfirmed.
   const { clock, store, start } = setUp(t);
   const first = await publish(clock, store, configOf(team('a')));
   const host = start();
@@ -177,28 +177,28 @@
   assert.match(host.state().problem ?? '', /not understood/);
 });
 
-test('a part that was damaged on the way is not taken', async (t) => {
+test('a part that was corrupted in transit is rejected', async (t) => {
   const { clock, store, start } = setUp(t);
   await publish(clock, store, configOf(team('a')));
   const old = start();
   await clock.advance(1000);
   store.setFaults({ down: true });
-  const damaged = (digest: string) => Promise.resolve(old.chunk(digest)?.replace('1000', '9000'));
-  const host = start({ ...relay(old), chunk: damaged }, 2);
-  await clock.advance(IN_FORCE_MS);
+  const corrupted = (digest: string) => Promise.resolve(old.chunk(digest)?.replace('1000', '9000'));
+  const host = start({ ...relay(old), chunk: corrupted }, 2);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(host.current(), undefined);
   store.setFaults({ down: false });
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(host.current()?.config.teams[0]?.rate.tokensPerSecond, 1000);
 });
 
-test('a slow platform delays a change and loses none', async (t) => {
+test('a slow platform delays a change but does not lose it', async (t) => {
   const { clock, store, start } = setUp(t);
   await publish(clock, store, configOf(team('a')));
   const host = start();
   await clock.advance(1000);
   store.setFaults({ delayMs: 1200 });
   const root = await publish(clock, store, configOf(team('a'), team('b')));
-  await clock.advance(IN_FORCE_MS);
+  await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(host.current()?.version, root.version);
 });
--- a/packages/store/tests/config/ConfigFollowers.property.test.ts
+++ b/packages/store/tests/config/ConfigFollowers.property.test.ts
@@ -13,15 +13,15 @@
 
 const HOSTS = 4;
 
-const IN_FORCE_MS = 6000;
+const ACTIVE_WITHIN_MS = 6000;
 
-interface Enforced {
+interface Activation {
   readonly version: number;
   readonly before: number;
   readonly digest: string;
 }
 
-/** Hosts that relay to each other, while the platform comes and goes and they are replaced. */
+/** Hosts that relay the configuration to each other during platform outages and host restarts. */
 class Fleet {
   readonly clock = new VirtualClock();
 
@@ -29,7 +29,7 @@
 
   private readonly accepted = new Map<number, string>();
 
-  private readonly enforced: Enforced[] = [];
+  private readonly activations: Activation[] = [];
 
   private hosts: readonly ConfigFollower[] = [];
 
@@ -50,15 +50,15 @@
     else this.store.setFaults({ delayMs: event === 'slow' ? 700 : 3 });
   }
 
-  /** Lets the platform be well again; then every host must have the newest version in time. */
+  /** Ends all faults, after which every host must have the newest version in time. */
   async heal(): Promise<void> {
     this.store.setFaults({ down: false, delayMs: 3 });
-    await this.clock.advance(IN_FORCE_MS);
+    await this.clock.advance(ACTIVE_WITHIN_MS);
     const states = this.hosts.map((host) => [host.current()?.version, host.isConfirmed()]);
     assert.deepEqual(states, Array(HOSTS).fill([this.newest, true]));
     await drive(this.clock, Promise.all(this.hosts.map((host) => host.stop())));
-    this.enforced.forEach(({ version, before, digest }) => {
-      assert.ok(version > before, `version ${version} came into force after ${before}`);
+    this.activations.forEach(({ version, before, digest }) => {
+      assert.ok(version > before, `version ${version} became active after ${before}`);
       assert.equal(digest, this.accepted.get(version));
     });
   }
@@ -86,7 +86,11 @@
       peers: this.peers(),
     });
     host.onChange(({ version, config }, before) => {
-      this.enforced.push({ version, before: before?.version ?? 0, digest: configDigest(config) });
+      this.activations.push({
+        version,
+        before: before?.version ?? 0,
+        digest: configDigest(config),
+      });
     });
     host.start();
     return host;
@@ -102,9 +106,9 @@
   }
 }
 
-test('through outages, slowness and replacements no host goes back, and all catch up in seconds', async () => {
-  // Changes are accepted while the platform comes and goes and hosts are replaced. What a user
-  // would notice is a withdrawn key that works again, or a change that one host never learns of.
+test('despite outages, delays and restarts no host rolls back and all catch up within seconds', async () => {
+  // Changes are accepted during platform outages and host restarts. The failures would be a withdrawn
+  // key that works again, or a change that one host never gets.
   const plan = fc.array(
     fc.record({
       event: fc.constantFrom(...EVENTS),
--- a/packages/store/tests/config/ConfigPart.test.ts
+++ b/packages/store/tests/config/ConfigPart.test.ts
@@ -17,7 +17,7 @@
   );
 });
 
-test('the order of declarations and of keys makes no difference', () => {
+test('the order of teams and of keys does not change the digests', () => {
   const a = configOf(team('a', ['d1', 'd2']), team('b'));
   const b = configOf(team('b'), team('a', ['d2', 'd1']));
   assert.equal(configDigest(a), configDigest(b));
@@ -25,7 +25,7 @@
   assert.notEqual(configDigest(a), configDigest(configOf(team('a', ['d1']), team('b'))));
 });
 
-test('buckets grow with the teams, and stay while they are about right', () => {
+test('the number of buckets grows with the teams and stays while close to the best number', () => {
   assert.deepEqual(
     [0, 64, 65, 20_000, 10 ** 7].map((n) => bucketsFor(n)),
     [1, 1, 2, 512, 1024],
--- a/packages/store/tests/config/KeyRing.test.ts
+++ b/packages/store/tests/config/KeyRing.test.ts
@@ -7,7 +7,7 @@
 const [KEY_A, KEY_B] = ['cvk_a', 'cvk_b'];
 const [DIGEST_A, DIGEST_B] = [sha256Hex(KEY_A), sha256Hex(KEY_B)];
 
-test('a key leads to its team only', () => {
+test('a key maps to its own team only', () => {
   const ring = new KeyRing();
   ring.update(configOf(team('a', [DIGEST_A]), team('b', [DIGEST_B])));
   const found = ring.lookup(KEY_B);
@@ -17,28 +17,28 @@
   assert.equal(ring.lookup('x'.repeat(100_000)).type, 'unknown');
 });
 
-test('a withdrawn key is refused as withdrawn, and whoever holds its streams is told', () => {
-  // An operator withdraws a key that leaked. Its holder has a long answer open and keeps sending;
-  // both have to end, and the refusal has to say why.
+test('a withdrawn key is refused as withdrawn and the listeners are notified', () => {
+  // An operator withdraws a leaked key while a client has a long stream open and sends new requests.
+  // The stream must end, and the requests must be refused with the reason.
   const ring = new KeyRing();
-  const told: WithdrawnKey[] = [];
+  const notified: WithdrawnKey[] = [];
   ring.update(configOf(team('a', [DIGEST_A, DIGEST_B])));
-  ring.onWithdrawn((keys) => told.push(...keys));
+  ring.onWithdrawn((keys) => notified.push(...keys));
   ring.update(configOf(team('a', [DIGEST_B])));
-  assert.deepEqual(told, [{ digest: DIGEST_A, team: 'a' }]);
+  assert.deepEqual(notified, [{ digest: DIGEST_A, team: 'a' }]);
   assert.equal(ring.lookup(KEY_A).type, 'withdrawn');
   assert.equal(ring.isInForce(DIGEST_A, 'a'), false);
   ring.update(configOf(team('a', [DIGEST_A, DIGEST_B])));
   assert.equal(ring.lookup(KEY_A).type, 'team');
-  assert.equal(told.length, 1);
+  assert.equal(notified.length, 1);
 });
 
-test('a key that moves to another team ends what the first team has open', () => {
+test('a key that moves to another team counts as withdrawn from the first team', () => {
   const ring = new KeyRing();
-  const told: WithdrawnKey[] = [];
+  const notified: WithdrawnKey[] = [];
   ring.update(configOf(team('a', [DIGEST_A]), team('b')));
-  ring.onWithdrawn((keys) => told.push(...keys));
+  ring.onWithdrawn((keys) => notified.push(...keys));
   ring.update(configOf(team('a'), team('b', [DIGEST_A])));
-  assert.deepEqual(told, [{ digest: DIGEST_A, team: 'a' }]);
+  assert.deepEqual(notified, [{ digest: DIGEST_A, team: 'a' }]);
   assert.equal(ring.lookup(KEY_A).type, 'team');
 });
