--- a/packages/store/src/claims/ClaimSettler.ts
+++ b/packages/store/src/claims/ClaimSettler.ts
@@ -55,7 +55,7 @@
     await Promise.all(this.tasks);
   }
 
-  /** Stops the retries; the pending claims remain stored and their outcome is unknown. */
+  /** Stops the retries; pending claims stay as they are and count as having an unknown outcome. */
   async stop(): Promise<void> {
     this.stopped.abort();
     await this.drained();
