--- a/packages/bench/src/rates/RateGroup.ts
+++ b/packages/bench/src/rates/RateGroup.ts
@@ -130,7 +130,7 @@
   private async announce(self: MemberIdentity, signal: AbortSignal, clock: Clock): Promise<void> {
     const { host: id, zone, callerAddress, peerAddress } = self;
     while (!signal.aborted) {
-      await this.store.announce({ id, zone, callerAddress, peerAddress, state: 'live' });
+      await this.store.register({ id, zone, callerAddress, peerAddress, state: 'live' });
       await sleep(clock, ANNOUNCE_MS, signal);
     }
   }
--- a/packages/bench/src/slopes/ControlFleet.ts
+++ b/packages/bench/src/slopes/ControlFleet.ts
@@ -3,7 +3,7 @@
 import { applyConfig } from '@camphorvane/operator';
 import type { PeerLink } from '@camphorvane/peer';
 import { requestBytes, responseBytes } from '@camphorvane/peer';
-import { groupAgreement, Host, Metrics } from '@camphorvane/router';
+import { groupCoordination, Host, Metrics } from '@camphorvane/router';
 import {
   EngineCore,
   MemoryNetwork,
@@ -132,7 +132,7 @@
         prompt,
         maxTokens: this.load.outputTokens,
         class: 'lookup',
-        hopped: false,
+        forwardedByHost: false,
       },
       new AbortController().signal,
     );
@@ -167,7 +167,7 @@
     const host = new Host({
       identity,
       incarnation,
-      agreement: groupAgreement({
+      coordination: groupCoordination({
         group: 'g',
         groupSize: this.load.hosts,
         fleetHosts: this.load.hosts,
--- a/packages/bench/src/slopes/LoopbackGroup.ts
+++ b/packages/bench/src/slopes/LoopbackGroup.ts
@@ -104,7 +104,7 @@
     const rates = new TeamRates({ clock, link, authority });
     const stopping = new AbortController();
     parts.host = { server, link, runner, rates, stopping };
-    await store.announce({ id, zone: self.zone, ...addresses(peerAddress), state: 'live' });
+    await store.register({ id, zone: self.zone, ...addresses(peerAddress), state: 'live' });
     runner.start();
     rates.start();
     return parts.host;
--- a/packages/bench/src/slopes/memorySlopes.ts
+++ b/packages/bench/src/slopes/memorySlopes.ts
@@ -1,6 +1,6 @@
 import { SystemClock, type TeamConfig } from '@camphorvane/core';
 import { DEFAULT_SHARES, ShareHolder, ShareSteward } from '@camphorvane/group';
-import { chunkConfig, readPart } from '@camphorvane/store';
+import { chunkConfig, parsePart } from '@camphorvane/store';
 import { teamsOf } from './groupSlopes.ts';
 import { type Slope, slopeOf } from './Slope.ts';
 
@@ -28,7 +28,7 @@
   const clock = new SystemClock();
   const { chunks } = chunkConfig(configOf(teamsOf(teams)));
   const start = clock.now();
-  chunks.forEach((chunk) => readPart(chunk.digest, chunk.text));
+  chunks.forEach((chunk) => parsePart(chunk.digest, chunk.text));
   const bytes = chunks.reduce((sum, chunk) => sum + chunk.bytes, 0);
   return { bytes, ms: clock.now() - start };
 }
@@ -36,7 +36,7 @@
 function configHeap(teams: number): number {
   const texts = chunkConfig(configOf(teamsOf(teams))).chunks;
   const before = heapUsed();
-  const kept = texts.map((chunk) => readPart(chunk.digest, chunk.text));
+  const kept = texts.map((chunk) => parsePart(chunk.digest, chunk.text));
   const after = heapUsed();
   return kept.length > 0 ? after - before : 0;
 }
--- a/packages/caller/src/CallerBackend.ts
+++ b/packages/caller/src/CallerBackend.ts
@@ -11,7 +11,7 @@
 import type { Result } from 'neverthrow';
 
 /** A host that is recommended to a caller. */
-export interface AdvisedHost {
+export interface RecommendedHost {
   readonly host: string;
   readonly zone: string;
   /** `ip:port` to connect to. */
@@ -19,9 +19,9 @@
 }
 
 /** Hosts that a caller should use, best first, and for how many milliseconds it may cache the list. */
-export interface HostAdvice {
-  readonly hosts: readonly AdvisedHost[];
-  readonly keepForMs: number;
+export interface HostRecommendation {
+  readonly hosts: readonly RecommendedHost[];
+  readonly maxAgeMs: number;
 }
 
 /** A caller's request for a completion. */
@@ -33,7 +33,7 @@
   readonly maxTokens: Tokens;
   readonly class: WorkClass;
   /** True where another host forwarded the request; it is not forwarded again. */
-  readonly hopped: boolean;
+  readonly forwardedByHost: boolean;
 }
 
 /** An event of a completion; the last one is `done` or `refused`. */
@@ -59,11 +59,11 @@
   readonly headers: Readonly<Record<string, string>>;
   readonly idempotencyKey: string | undefined;
   readonly body: Uint8Array;
-  readonly hopped: boolean;
+  readonly forwardedByHost: boolean;
 }
 
 /** The complete response of a plain service. */
-export interface ServiceReply {
+export interface ServiceResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
@@ -78,7 +78,7 @@
   readonly promptTokens: Tokens;
   readonly maxTokens: Tokens;
   /** The caller's estimate of its output; correct in the median, but single values may be far off. */
-  readonly expectedTokens?: Tokens;
+  readonly expectedOutputTokens?: Tokens;
   readonly parts: readonly PromptPart[];
   /** Last position received, after which the caller resumes a stream; undefined for a new one. */
   readonly lastPosition: number | undefined;
@@ -96,7 +96,7 @@
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
   /** The caller's timeout in milliseconds; undefined where it sent none. */
-  readonly patienceMs: Millis | undefined;
+  readonly callerTimeoutMs: Millis | undefined;
   /** Undefined where the caller declared none. */
   readonly work: DeclaredWork | undefined;
 }
@@ -133,7 +133,7 @@
   newRequestId(): RequestId;
 
   /** Gets the hosts recommended to the key's team. */
-  advise(key: string | undefined): Result<HostAdvice, Refusal>;
+  recommendHosts(key: string | undefined): Result<HostRecommendation, Refusal>;
 
   /** Gets the models that the key's team may request. */
   models(key: string | undefined): Result<readonly ModelId[], Refusal>;
@@ -164,5 +164,5 @@
     id: RequestId,
     req: ServiceRequest,
     signal: AbortSignal,
-  ): Promise<Result<ServiceReply, Refusal>>;
+  ): Promise<Result<ServiceResponse, Refusal>>;
 }
--- a/packages/caller/src/CallerServer.ts
+++ b/packages/caller/src/CallerServer.ts
@@ -14,10 +14,10 @@
 import { refusalResponse } from './http/refusalStatus.ts';
 import {
   checkHeaders,
-  checkKeyPlaces,
+  checkKeyLeak,
   checkServicePath,
-  keyOf,
-  passedHeaders,
+  extractKey,
+  selectForwardedHeaders,
 } from './http/requestChecks.ts';
 import type { CompletionKind } from './openai/completionBody.ts';
 import { parseCompletionBody } from './openai/completionBody.ts';
@@ -52,7 +52,7 @@
   readonly backend: CallerBackend;
   readonly clock: Clock;
   /** Tells whether a value of {@link HOP_HEADER} is the fleet's credential. */
-  readonly isFleet: (credential: string) => boolean;
+  readonly isFleetCredential: (credential: string) => boolean;
 }
 
 /** The HTTP server for callers. */
@@ -138,19 +138,19 @@
 
   private listHosts(c: Context<Env>): Response {
     return this.options.backend
-      .advise(keyOf(c.env.incoming))
+      .recommendHosts(extractKey(c.env.incoming))
       .match(
         (advice) =>
           Response.json(
-            { hosts: advice.hosts, keep_for_ms: advice.keepForMs },
-            { headers: { 'cache-control': `max-age=${Math.floor(advice.keepForMs / 1000)}` } },
+            { hosts: advice.hosts, keep_for_ms: advice.maxAgeMs },
+            { headers: { 'cache-control': `max-age=${Math.floor(advice.maxAgeMs / 1000)}` } },
           ),
         refusalResponse,
       );
   }
 
   private listModels(c: Context<Env>): Response {
-    return this.options.backend.models(keyOf(c.env.incoming)).match(
+    return this.options.backend.models(extractKey(c.env.incoming)).match(
       (models) =>
         Response.json({
           object: 'list',
@@ -175,18 +175,18 @@
       id: this.options.backend.newRequestId(),
       kind,
       body: body.value,
-      gone: abortOnDisconnect(outgoing),
+      disconnected: abortOnDisconnect(outgoing),
       req: {
-        key: keyOf(incoming),
+        key: extractKey(incoming),
         model: body.value.model,
         prompt: body.value.prompt,
         maxTokens: body.value.maxTokens,
         class: body.value.class,
-        hopped: this.isForwardedByHost(incoming),
+        forwardedByHost: this.isForwardedByHost(incoming),
       },
     };
-    if (!body.value.stream) return this.completions.answerWhole(call);
-    return (await this.completions.answerStream(call, outgoing)) ?? RESPONSE_ALREADY_SENT;
+    if (!body.value.stream) return this.completions.respondWithJson(call);
+    return (await this.completions.respondWithStream(call, outgoing)) ?? RESPONSE_ALREADY_SENT;
   }
 
   private async callService(c: Context<Env>): Promise<Response> {
@@ -201,14 +201,14 @@
     const result = await this.options.backend.callService(
       id,
       {
-        key: keyOf(incoming),
+        key: extractKey(incoming),
         service,
         method: incoming.method ?? 'GET',
         path: path.value,
-        headers: passedHeaders(incoming),
+        headers: selectForwardedHeaders(incoming),
         idempotencyKey: typeof idempotencyKey === 'string' ? idempotencyKey : undefined,
         body: read.value,
-        hopped: this.isForwardedByHost(incoming),
+        forwardedByHost: this.isForwardedByHost(incoming),
       },
       abortOnDisconnect(outgoing).signal,
     );
@@ -230,12 +230,14 @@
     const headers = checkHeaders(req);
     if (headers.isErr()) return headers.map(() => Buffer.alloc(0));
     const body = await this.bodies.read(req);
-    return body.andThen((bytes) => checkKeyPlaces(keyOf(req), req, bytes).andThen(() => ok(bytes)));
+    return body.andThen((bytes) =>
+      checkKeyLeak(extractKey(req), req, bytes).andThen(() => ok(bytes)),
+    );
   }
 
   private isForwardedByHost(req: IncomingMessage): boolean {
     const value = req.headers[HOP_HEADER];
-    return typeof value === 'string' && this.options.isFleet(value);
+    return typeof value === 'string' && this.options.isFleetCredential(value);
   }
 }
 
--- a/packages/caller/src/http/BodyReader.ts
+++ b/packages/caller/src/http/BodyReader.ts
@@ -44,7 +44,7 @@
   }
 
   /** Gets the total bytes of the bodies being read. */
-  getHeldBytes(): number {
+  getBufferedBytes(): number {
     return this.bufferedBytes;
   }
 
--- a/packages/caller/src/http/CompletionRoute.ts
+++ b/packages/caller/src/http/CompletionRoute.ts
@@ -2,8 +2,13 @@
 import type { Clock, Millis, Refusal, RequestId } from '@camphorvane/core';
 import { outcomeUnknown, sleep } from '@camphorvane/core';
 import type { CallerBackend, CompletionEvent, CompletionRequest } from '../CallerBackend.ts';
-import type { AnswerHead } from '../openai/completionAnswers.ts';
-import { finishChunk, tokenChunk, usageChunk, wholeAnswer } from '../openai/completionAnswers.ts';
+import type { CompletionHead } from '../openai/completionResponses.ts';
+import {
+  finishChunk,
+  tokenChunk,
+  usageChunk,
+  completionResponse,
+} from '../openai/completionResponses.ts';
 import type { CompletionBody, CompletionKind } from '../openai/completionBody.ts';
 import { refusalBody, refusalResponse } from './refusalStatus.ts';
 
@@ -20,7 +25,7 @@
   readonly body: CompletionBody;
   readonly req: CompletionRequest;
   /** Aborted when the caller disconnects. */
-  readonly gone: AbortController;
+  readonly disconnected: AbortController;
 }
 
 /** Writes the events of a completion as an OpenAI response, streamed or as one JSON body. */
@@ -44,15 +49,15 @@
    * @param call - The completion.
    * @returns The HTTP response.
    */
-  async answerWhole(call: CompletionCall): Promise<Response> {
+  async respondWithJson(call: CompletionCall): Promise<Response> {
     const texts: string[] = [];
-    for await (const event of this.backend.complete(call.id, call.req, call.gone.signal)) {
+    for await (const event of this.backend.complete(call.id, call.req, call.disconnected.signal)) {
       switch (event.type) {
         case 'token':
           texts.push(event.text);
           break;
         case 'done':
-          return Response.json(wholeAnswer(this.createHead(call), texts.join(''), event), {
+          return Response.json(completionResponse(this.createHead(call), texts.join(''), event), {
             headers: { [REQUEST_ID_HEADER]: call.id },
           });
         case 'refused':
@@ -71,15 +76,18 @@
    * @param out - The response to the caller.
    * @returns The error response, or undefined once the stream has been written.
    */
-  async answerStream(call: CompletionCall, out: ServerResponse): Promise<Response | undefined> {
+  async respondWithStream(
+    call: CompletionCall,
+    out: ServerResponse,
+  ): Promise<Response | undefined> {
     let started = false;
     const head = this.createHead(call);
-    for await (const event of this.backend.complete(call.id, call.req, call.gone.signal)) {
+    for await (const event of this.backend.complete(call.id, call.req, call.disconnected.signal)) {
       if (!started && event.type === 'refused') return refusalResponse(event.refusal);
       if (!started) this.writeStreamHead(call, out);
       const sent = await this.write(out, this.formatEvent(head, event, !started, call.body));
       started = true;
-      if (!sent) call.gone.abort();
+      if (!sent) call.disconnected.abort();
       if (event.type !== 'token') {
         out.end();
         return undefined;
@@ -100,7 +108,7 @@
   }
 
   private formatEvent(
-    head: AnswerHead,
+    head: CompletionHead,
     event: CompletionEvent,
     first: boolean,
     body: CompletionBody,
@@ -147,7 +155,7 @@
     return first === 'drained';
   }
 
-  private createHead(call: CompletionCall): AnswerHead {
+  private createHead(call: CompletionCall): CompletionHead {
     return {
       id: `${call.kind === 'chat' ? 'chatcmpl' : 'cmpl'}-${call.id}`,
       kind: call.kind,
--- a/packages/caller/src/http/requestChecks.ts
+++ b/packages/caller/src/http/requestChecks.ts
@@ -67,7 +67,7 @@
  * @param req - The request.
  * @returns The key, or undefined without a well-formed bearer token.
  */
-export function keyOf(req: IncomingMessage): string | undefined {
+export function extractKey(req: IncomingMessage): string | undefined {
   return BEARER.exec(req.headers.authorization ?? '')?.[1];
 }
 
@@ -82,7 +82,7 @@
  * @param body - Its body.
  * @returns Nothing, or a refusal.
  */
-export function checkKeyPlaces(
+export function checkKeyLeak(
   key: string | undefined,
   req: IncomingMessage,
   body: Buffer,
@@ -104,7 +104,7 @@
  * @param req - The request.
  * @returns Lower-case names and values.
  */
-export function passedHeaders(req: IncomingMessage): Readonly<Record<string, string>> {
+export function selectForwardedHeaders(req: IncomingMessage): Readonly<Record<string, string>> {
   return Object.fromEntries(
     Object.entries(req.headers)
       .filter(([name]) => FORWARDED_HEADERS.has(name))
--- a/packages/caller/src/openai/completionAnswers.ts
+++ b/packages/caller/src/openai/completionResponses.ts
@@ -2,7 +2,7 @@
 import type { CompletionKind } from './completionBody.ts';
 
 /** Fields that all chunks of one response share. */
-export interface AnswerHead {
+export interface CompletionHead {
   readonly id: string;
   readonly kind: CompletionKind;
   readonly model: string;
@@ -13,7 +13,7 @@
 type DoneEvent = Extract<CompletionEvent, { readonly type: 'done' }>;
 
 /** A JSON object of the OpenAI API; only serialized here, never parsed. */
-export type AnswerObject = Readonly<Record<string, unknown>>;
+export type ResponseObject = Readonly<Record<string, unknown>>;
 
 /**
  * Creates the stream chunk of one token.
@@ -23,7 +23,7 @@
  * @param first - True for the first chunk, which names the role in a chat.
  * @returns The chunk.
  */
-export function tokenChunk(head: AnswerHead, text: string, first: boolean): AnswerObject {
+export function tokenChunk(head: CompletionHead, text: string, first: boolean): ResponseObject {
   const choice =
     head.kind === 'chat'
       ? { index: 0, delta: first ? { role: 'assistant', content: text } : { content: text } }
@@ -38,7 +38,7 @@
  * @param done - How the completion ended.
  * @returns The chunk.
  */
-export function finishChunk(head: AnswerHead, done: DoneEvent): AnswerObject {
+export function finishChunk(head: CompletionHead, done: DoneEvent): ResponseObject {
   const choice = head.kind === 'chat' ? { index: 0, delta: {} } : { index: 0, text: '' };
   return createChunk(head, { ...choice, finish_reason: done.reason, logprobs: null });
 }
@@ -50,7 +50,7 @@
  * @param done - How the completion ended.
  * @returns The chunk.
  */
-export function usageChunk(head: AnswerHead, done: DoneEvent): AnswerObject {
+export function usageChunk(head: CompletionHead, done: DoneEvent): ResponseObject {
   return { ...sharedFields(head, true), choices: [], usage: toUsage(done) };
 }
 
@@ -62,7 +62,11 @@
  * @param done - How the completion ended.
  * @returns The body.
  */
-export function wholeAnswer(head: AnswerHead, text: string, done: DoneEvent): AnswerObject {
+export function completionResponse(
+  head: CompletionHead,
+  text: string,
+  done: DoneEvent,
+): ResponseObject {
   const choice =
     head.kind === 'chat'
       ? { index: 0, message: { role: 'assistant', content: text, refusal: null } }
@@ -74,11 +78,11 @@
   };
 }
 
-function createChunk(head: AnswerHead, choice: AnswerObject): AnswerObject {
+function createChunk(head: CompletionHead, choice: ResponseObject): ResponseObject {
   return { ...sharedFields(head, true), choices: [choice] };
 }
 
-function sharedFields(head: AnswerHead, streamed: boolean): AnswerObject {
+function sharedFields(head: CompletionHead, streamed: boolean): ResponseObject {
   const chatObject = streamed ? 'chat.completion.chunk' : 'chat.completion';
   return {
     id: head.id,
@@ -88,7 +92,7 @@
   };
 }
 
-function toUsage(done: DoneEvent): AnswerObject {
+function toUsage(done: DoneEvent): ResponseObject {
   return {
     prompt_tokens: done.promptTokens,
     completion_tokens: done.outputTokens,
--- a/packages/caller/tests/CallerServer.test.ts
+++ b/packages/caller/tests/CallerServer.test.ts
@@ -58,7 +58,7 @@
   // The engines fail after the first token. Without an error event the truncated stream would pass for
   // a short but complete response.
   await withServer(async (port, backend) => {
-    backend.answerWith([
+    backend.setEvents([
       { type: 'token', position: 0, text: 'white ' },
       {
         type: 'refused',
@@ -80,7 +80,7 @@
 
 test('a refusal carries its code, execution and Retry-After', async () => {
   await withServer(async (port, backend) => {
-    backend.answerWith([
+    backend.setEvents([
       {
         type: 'refused',
         refusal: {
@@ -120,7 +120,7 @@
   // A caller closes its connection while its response is generated. If the host missed it, engine memory
   // would stay reserved for a response that nobody reads.
   await withServer(async (port, backend) => {
-    backend.hang();
+    backend.stallAfterFirstEvent();
     const stream = await createClient(port).chat.completions.create({
       model: 'varnish-7b',
       messages,
@@ -128,11 +128,11 @@
     });
     stream.controller.abort();
     const deadline = Date.now() + 5_000;
-    while (backend.gone === 0 && Date.now() < deadline) {
+    while (backend.disconnectCount === 0 && Date.now() < deadline) {
       await new Promise((resolve) => {
         setTimeout(resolve, 5);
       });
     }
-    assert.equal(backend.gone, 1);
+    assert.equal(backend.disconnectCount, 1);
   });
 });
--- a/packages/caller/tests/support/FakeBackend.ts
+++ b/packages/caller/tests/support/FakeBackend.ts
@@ -2,7 +2,7 @@
   CallerBackend,
   CompletionEvent,
   CompletionRequest,
-  ServiceReply,
+  ServiceResponse,
   ServiceRequest,
 } from '@camphorvane/caller';
 import type { Refusal } from '@camphorvane/core';
@@ -19,7 +19,7 @@
   readonly calls: ServiceRequest[] = [];
 
   /** Number of completions whose caller disconnected before their end. */
-  gone = 0;
+  disconnectCount = 0;
 
   private events: readonly CompletionEvent[] = [
     { type: 'token', position: 0, text: 'white ' },
@@ -30,12 +30,12 @@
   private stalls = false;
 
   /** Sets the events of all subsequent completions. */
-  answerWith(events: readonly CompletionEvent[]): void {
+  setEvents(events: readonly CompletionEvent[]): void {
     this.events = events;
   }
 
   /** Makes completions stall after their first event until the caller disconnects. */
-  hang(): void {
+  stallAfterFirstEvent(): void {
     this.stalls = true;
   }
 
@@ -43,10 +43,10 @@
     return `r${this.completions.length + this.calls.length}`;
   }
 
-  advise(key: string | undefined): ReturnType<CallerBackend['advise']> {
+  recommendHosts(key: string | undefined): ReturnType<CallerBackend['recommendHosts']> {
     return this.checkKey(key).map(() => ({
       hosts: [{ host: 'h1', zone: 'z1', address: '127.0.0.1:1' }],
-      keepForMs: 10_000,
+      maxAgeMs: 10_000,
     }));
   }
 
@@ -70,13 +70,13 @@
       await new Promise<void>((resolve) => {
         signal.addEventListener('abort', () => resolve(), { once: true });
       });
-      this.gone += 1;
+      this.disconnectCount += 1;
       return;
     }
     yield* this.events;
   }
 
-  async callService(_id: string, req: ServiceRequest): Promise<Result<ServiceReply, Refusal>> {
+  async callService(_id: string, req: ServiceRequest): Promise<Result<ServiceResponse, Refusal>> {
     this.calls.push(req);
     return this.checkKey(req.key).map(() => ({
       status: 200,
--- a/packages/caller/tests/support/withServer.ts
+++ b/packages/caller/tests/support/withServer.ts
@@ -8,7 +8,11 @@
   run: (port: number, backend: FakeBackend) => Promise<void>,
 ): Promise<void> {
   const backend = new FakeBackend();
-  const server = new CallerServer({ backend, clock: new SystemClock(), isFleet: () => false });
+  const server = new CallerServer({
+    backend,
+    clock: new SystemClock(),
+    isFleetCredential: () => false,
+  });
   const port = await server.start('127.0.0.1', 0);
   try {
     await run(port, backend);
--- a/packages/core/src/LoadSnapshot.ts
+++ b/packages/core/src/LoadReport.ts
@@ -2,7 +2,7 @@
 import type { Pieces } from './tokens.ts';
 
 /** An engine's load report; it lags behind the engine's state. */
-export interface LoadSnapshot {
+export interface LoadReport {
   readonly role: 'prefill' | 'decode';
   readonly usedPieces: Pieces;
   readonly memoryPieces: Pieces;
--- a/packages/core/src/Prompt.ts
+++ b/packages/core/src/Prompt.ts
@@ -40,7 +40,7 @@
  * @param prompt - The prompt.
  * @returns The text; undefined for a forwarded call.
  */
-export function textOf(prompt: Prompt): string | undefined {
+export function getPromptText(prompt: Prompt): string | undefined {
   return typeof prompt === 'string' ? prompt : undefined;
 }
 
@@ -50,6 +50,6 @@
  * @param prompt - The prompt.
  * @returns Its tokens: estimated for text, declared by the caller for a forwarded call.
  */
-export function promptTokens(prompt: Prompt): Tokens {
+export function countPromptTokens(prompt: Prompt): Tokens {
   return typeof prompt === 'string' ? estimateTokens(prompt) : prompt.tokens;
 }
--- a/packages/core/src/VirtualClock.ts
+++ b/packages/core/src/VirtualClock.ts
@@ -47,7 +47,7 @@
   }
 
   /** Gets the number of timers that have not fired. */
-  pending(): number {
+  countPendingTimers(): number {
     return this.timers.length;
   }
 
--- a/packages/core/src/digest.ts
+++ b/packages/core/src/digest.ts
@@ -16,6 +16,6 @@
  * @param text - Any text.
  * @returns An integer from 0 to 2^48 - 1, the same in every process.
  */
-export function hashNumber(text: string): number {
+export function hashToUint48(text: string): number {
   return createHash('sha256').update(text).digest().readUIntBE(0, 6);
 }
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -10,4 +10,4 @@
 export * from './tokens.ts';
 export * from './Prompt.ts';
 export * from './RoutingConfig.ts';
-export * from './LoadSnapshot.ts';
+export * from './LoadReport.ts';
--- a/packages/core/src/rendezvous.ts
+++ b/packages/core/src/rendezvous.ts
@@ -1,4 +1,4 @@
-import { hashNumber } from './digest.ts';
+import { hashToUint48 } from './digest.ts';
 
 /**
  * Ranks candidates for a key by rendezvous hashing: removing a candidate moves only the keys that
@@ -10,7 +10,7 @@
  */
 export function rendezvousOrder(key: string, candidates: readonly string[]): readonly string[] {
   return candidates
-    .map((name) => ({ name, weight: hashNumber(`${key}\u0000${name}`) }))
+    .map((name) => ({ name, weight: hashToUint48(`${key}\u0000${name}`) }))
     .sort((a, b) => b.weight - a.weight || (a.name < b.name ? -1 : 1))
     .map((entry) => entry.name);
 }
--- a/packages/core/tests/VirtualClock.test.ts
+++ b/packages/core/tests/VirtualClock.test.ts
@@ -35,5 +35,5 @@
   const waiting = sleep(clock, 1000, abort.signal);
   abort.abort();
   await waiting;
-  assert.equal(clock.pending(), 0);
+  assert.equal(clock.countPendingTimers(), 0);
 });
--- a/packages/decisions/src/PoolScheduler.ts
+++ b/packages/decisions/src/PoolScheduler.ts
@@ -1,7 +1,7 @@
 import type {
   EngineConfig,
   HostId,
-  LoadSnapshot,
+  LoadReport,
   Millis,
   Pieces,
   Refusal,
@@ -78,7 +78,7 @@
 
 /** An observation of an engine, from a load report or a host that uses it. */
 export type EngineObservation =
-  | { readonly type: 'load'; readonly engine: UpstreamId; readonly load: LoadSnapshot }
+  | { readonly type: 'load'; readonly engine: UpstreamId; readonly load: LoadReport }
   | {
       /** Recent mean time between tokens, and the number of streams that ran meanwhile. */
       readonly type: 'token_interval';
--- a/packages/decisions/src/local/slowStartQuota.ts
+++ b/packages/decisions/src/local/slowStartQuota.ts
@@ -1,5 +1,5 @@
 import type { HostId, UpstreamId } from '@camphorvane/core';
-import { hashNumber } from '@camphorvane/core';
+import { hashToUint48 } from '@camphorvane/core';
 
 /**
  * Gets the share of one host in the requests per second that all hosts together may send to an upstream.
@@ -23,7 +23,7 @@
   if (index < 0) return 0;
   const base = Math.floor(requestsPerSecond / hosts.length);
   const remainder = Math.floor(requestsPerSecond) - base * hosts.length;
-  const firstIndex = hashNumber(upstream) % hosts.length;
+  const firstIndex = hashToUint48(upstream) % hosts.length;
   const offset = (index - firstIndex + hosts.length) % hosts.length;
   return offset < remainder ? base + 1 : base;
 }
--- a/packages/decisions/src/rates/DistributedRateLimiter.ts
+++ b/packages/decisions/src/rates/DistributedRateLimiter.ts
@@ -108,16 +108,16 @@
     const isContinuous = previous?.incarnation === source;
     if (previous !== undefined && isContinuous) this.reconcile(previous, totals);
     const lastPaces = previous?.chargeRates ?? this.equalShares(heard);
-    const paces =
+    const chargeRates =
       previous !== undefined && isContinuous ? this.measureRates(previous, totals, now) : lastPaces;
-    const hosts = Math.min(heard, this.sharers.length);
+    const hostCount = Math.min(heard, this.sharers.length);
     const assumed = new Map<TeamId, Tokens>();
     this.trackGroups({
-      hostCount: hosts,
+      hostCount,
       incarnation: source,
       receivedAt: now,
       totals,
-      chargeRates: paces,
+      chargeRates,
       assumed,
     });
   }
@@ -145,14 +145,14 @@
     // Charges of a peer while it was silent are covered by the equal share assumed for it.
     const isContinuous = isSameStart && !this.isSilent(known, now);
     if (isContinuous) this.reconcile(known, merged);
-    const paces = isContinuous ? this.measureRates(known, merged, now) : this.equalShares(1);
+    const chargeRates = isContinuous ? this.measureRates(known, merged, now) : this.equalShares(1);
     const assumed = new Map<TeamId, Tokens>();
     this.peers.set(host, {
       hostCount: 1,
       incarnation,
       receivedAt: now,
       totals: merged,
-      chargeRates: paces,
+      chargeRates,
       assumed,
     });
   }
@@ -245,10 +245,10 @@
 
   /** Tracks the peers that the relay hears as one group, and the rest as a silent one. */
   private trackGroups(heard: PeerCharges): void {
-    const hosts = Math.min(heard.hostCount, this.sharers.length);
+    const hostCount = Math.min(heard.hostCount, this.sharers.length);
     this.peers.clear();
-    this.peers.set(HEARD_GROUP, { ...heard, hostCount: hosts });
-    this.peers.set(SILENT_GROUP, { ...UNKNOWN_PEER, hostCount: this.sharers.length - hosts });
+    this.peers.set(HEARD_GROUP, { ...heard, hostCount });
+    this.peers.set(SILENT_GROUP, { ...UNKNOWN_PEER, hostCount: this.sharers.length - hostCount });
   }
 
   private extrapolate(host: HostId, peer: PeerCharges, elapsedMs: Millis, now: Millis): void {
--- a/packages/decisions/src/retry/KeyedTokenBuckets.ts
+++ b/packages/decisions/src/retry/KeyedTokenBuckets.ts
@@ -23,10 +23,13 @@
 
   /** Gets the present level of a key's bucket. */
   get(key: Key, now: Millis): number {
-    const { capacity: most, perSecond } = this.opts;
+    const { capacity, perSecond } = this.opts;
     const bucket = this.buckets.get(key);
-    if (bucket === undefined) return most;
-    return Math.min(most, bucket.level + ((now - bucket.updatedAt) * perSecond) / MS_PER_SECOND);
+    if (bucket === undefined) return capacity;
+    return Math.min(
+      capacity,
+      bucket.level + ((now - bucket.updatedAt) * perSecond) / MS_PER_SECOND,
+    );
   }
 
   /** Adds tokens to a key's bucket; a negative number takes them out. */
--- a/packages/decisions/src/roles/RoleRebalancer.ts
+++ b/packages/decisions/src/roles/RoleRebalancer.ts
@@ -124,8 +124,8 @@
   }
 
   private moveIfConfirmed(view: RoleView, forecast: RoleForecast, now: Millis): RoleDecision {
-    const { current: present, target: wanted } = forecast;
-    const role = wanted.prefillEngines > present.prefillEngines ? 'prefill' : 'decode';
+    const { current, target } = forecast;
+    const role = target.prefillEngines > current.prefillEngines ? 'prefill' : 'decode';
     if (this.targetRole !== role) {
       this.targetRole = role;
       this.targetSince = now;
@@ -136,7 +136,7 @@
     const engines = selectEngines(
       view.engines,
       role,
-      Math.abs(wanted.prefillEngines - present.prefillEngines),
+      Math.abs(target.prefillEngines - current.prefillEngines),
     );
     if (engines.length === 0) return this.stay('no_engine', forecast);
     return { type: 'move', engines, role, forecast };
@@ -161,14 +161,14 @@
 function makeForecast(view: RoleView, requests: number): RoleForecast {
   const count = (role: EngineRole): number =>
     view.engines.filter((engine) => engine.role === role).length;
-  const present = { prefillEngines: count('prefill'), decodeEngines: count('decode') };
-  const wanted = findBestSplit(view, present);
-  const lateNow = getExpectedLateShare(view, present);
+  const current = { prefillEngines: count('prefill'), decodeEngines: count('decode') };
+  const target = findBestSplit(view, current);
+  const currentLateShare = getExpectedLateShare(view, current);
   return {
-    current: present,
-    target: wanted,
-    currentLateShare: lateNow,
-    targetLateShare: getExpectedLateShare(view, wanted),
+    current,
+    target,
+    currentLateShare,
+    targetLateShare: getExpectedLateShare(view, target),
     requests,
   };
 }
@@ -176,24 +176,19 @@
 /** Tells whether the gain of a change outweighs the capacity that is missing while it is made. */
 function isWorthwhile(
   view: RoleView,
-  {
-    current: present,
-    target: wanted,
-    currentLateShare: lateNow,
-    targetLateShare: lateThen,
-  }: RoleForecast,
+  { current, target, currentLateShare, targetLateShare }: RoleForecast,
 ): boolean {
-  const gain = lateNow - lateThen;
-  const minGain = Math.min(lateNow, 1 - lateNow) * MIN_RELATIVE_GAIN;
+  const gain = currentLateShare - targetLateShare;
+  const minGain = Math.min(currentLateShare, 1 - currentLateShare) * MIN_RELATIVE_GAIN;
   if (gain < Math.max(MIN_GAIN, minGain)) return false;
   const duringChange = {
-    prefillEngines: Math.min(present.prefillEngines, wanted.prefillEngines),
-    decodeEngines: Math.min(present.decodeEngines, wanted.decodeEngines),
+    prefillEngines: Math.min(current.prefillEngines, target.prefillEngines),
+    decodeEngines: Math.min(current.decodeEngines, target.decodeEngines),
   };
-  const loss = Math.max(0, getExpectedLateShare(view, duringChange) - lateNow);
+  const loss = Math.max(0, getExpectedLateShare(view, duringChange) - currentLateShare);
   // A decode engine finishes its streams before it changes its role.
   const outageMs =
-    view.roleSwitchMs + (wanted.prefillEngines > present.prefillEngines ? DECODE_DRAIN_MS : 0);
+    view.roleSwitchMs + (target.prefillEngines > current.prefillEngines ? DECODE_DRAIN_MS : 0);
   return gain * PAYBACK_MS > loss * outageMs;
 }
 
--- a/packages/decisions/src/roles/RoleSplit.ts
+++ b/packages/decisions/src/roles/RoleSplit.ts
@@ -108,11 +108,11 @@
 }
 
 function lateShareOf(inputs: SplitInputs, { prefillEngines, decodeEngines }: RoleSplit): number {
-  const { buckets: spans, onTimeMs, tokenIntervalMs } = inputs;
+  const { buckets, onTimeMs, tokenIntervalMs } = inputs;
   const prefillTokensPerMs =
     inputs.prefillTokensPerMs *
     (prefillEngines > 0 ? prefillEngines : decodeEngines * DECODE_PREFILL_SPEED);
-  const mean = meanRequest(spans);
+  const mean = meanRequest(buckets);
   const usable = Math.max(1, inputs.memoryTokens - mean.memoryTokens * UNUSED_REQUESTS_PER_ENGINE);
   const capacity = { prefillTokensPerMs, memoryTokens: usable * decodeEngines, tokenIntervalMs };
   // The allowed time includes the prefill of the request's own prompt.
@@ -120,7 +120,7 @@
   const maxWaitMs = Math.max(MIN_WAIT_MS, onTimeMs - prefillMs);
   return DEMAND_LEVELS.reduce(
     (sum, { factor, weight }) =>
-      sum + weight * forecastLateShare(spans, capacity, { onTimeMs: maxWaitMs, factor }),
+      sum + weight * forecastLateShare(buckets, capacity, { onTimeMs: maxWaitMs, factor }),
     0,
   );
 }
--- a/packages/decisions/src/roles/forecastLateShare.ts
+++ b/packages/decisions/src/roles/forecastLateShare.ts
@@ -63,23 +63,23 @@
 function advance(
   { waiting, running, late }: ReplayState,
   bucket: PoolDemand,
-  { prefillTokensPerMs: readPerMs, memoryTokens, tokenIntervalMs: tokenMs }: PoolCapacity,
+  { prefillTokensPerMs, memoryTokens, tokenIntervalMs }: PoolCapacity,
   { onTimeMs, factor }: ForecastOptions,
 ): ReplayState {
   const queued = sumDemand(waiting, scaleDemand(bucket, factor));
-  const endedShare = Math.min(1, DEMAND_BUCKET_MS / meanHoldMs(running, tokenMs));
+  const endedShare = Math.min(1, DEMAND_BUCKET_MS / meanHoldMs(running, tokenIntervalMs));
   const continuing = scaleDemand(running, 1 - endedShare);
   const free = Math.max(0, memoryTokens - continuing.memoryTokens);
   const startedShare = Math.min(
     servableShare(free, queued.memoryTokens),
-    servableShare(readPerMs * DEMAND_BUCKET_MS, queued.promptTokens),
+    servableShare(prefillTokensPerMs * DEMAND_BUCKET_MS, queued.promptTokens),
   );
   const nowRunning = sumDemand(continuing, scaleDemand(queued, startedShare));
   // Once all memory is in use, it is freed at the rate at which requests end.
-  const freedInTime = (memoryTokens / meanHoldMs(nowRunning, tokenMs)) * onTimeMs;
+  const freedInTime = (memoryTokens / meanHoldMs(nowRunning, tokenIntervalMs)) * onTimeMs;
   const inTimeShare = Math.min(
     servableShare(freedInTime, queued.memoryTokens),
-    servableShare(readPerMs * onTimeMs, queued.promptTokens),
+    servableShare(prefillTokensPerMs * onTimeMs, queued.promptTokens),
   );
   const lateShare = Math.max(0, 1 - startedShare - inTimeShare);
   return {
--- a/packages/decisions/src/service/concurrencyShare.ts
+++ b/packages/decisions/src/service/concurrencyShare.ts
@@ -24,14 +24,15 @@
  * @returns Most calls in flight, not rounded.
  */
 export function concurrencyShare({
-  concurrency: places,
-  ownCalls: own,
-  peerCalls: others,
-  silentHosts: unheard,
+  concurrency,
+  ownCalls,
+  peerCalls,
+  silentHosts,
   hosts,
 }: ConcurrencyDemand): number {
-  const available = Math.max(0, places - (unheard * places) / hosts);
-  const demand = own + others;
-  if (demand <= available) return own + (available - demand) / Math.max(1, hosts - unheard);
-  return (available * own) / demand;
+  const available = Math.max(0, concurrency - (silentHosts * concurrency) / hosts);
+  const demand = ownCalls + peerCalls;
+  if (demand <= available)
+    return ownCalls + (available - demand) / Math.max(1, hosts - silentHosts);
+  return (available * ownCalls) / demand;
 }
--- a/packages/decisions/tests/local/placingUnderLoad.test.ts
+++ b/packages/decisions/tests/local/placingUnderLoad.test.ts
@@ -89,13 +89,13 @@
     const { inFlight } = knowledge;
     const placement = new LocalPlacement(knowledge);
     placement.setEngines(ENGINES);
-    const { peerBacklog: waiting } = knowledge;
-    const peersOnTime = (now: Millis): number => waiting.sum('m', now);
+    const { peerBacklog } = knowledge;
+    const peersOnTime = (now: Millis): number => peerBacklog.sum('m', now);
     const queue =
       load.ignoresPeers === true
         ? new LocalQueue(placement)
         : new LocalQueue(placement, peersOnTime);
-    return { inFlight, waiting, queue };
+    return { inFlight, waiting: peerBacklog, queue };
   });
   const arrivals = new Map<
     string,
--- a/packages/decisions/tests/roles/RoleRebalancer.test.ts
+++ b/packages/decisions/tests/roles/RoleRebalancer.test.ts
@@ -23,12 +23,12 @@
   }));
 
 const viewOf = (
-  spans: readonly PoolDemand[],
+  buckets: readonly PoolDemand[],
   present: readonly EngineRoleState[],
   overrides: Partial<RoleView> = {},
 ): RoleView => ({
   ...{
-    buckets: spans,
+    buckets,
     engines: present,
     prefillTokensPerMs: 30,
     memoryTokens: 40_000,
--- a/packages/decisions/tests/roles/forecastLateShare.test.ts
+++ b/packages/decisions/tests/roles/forecastLateShare.test.ts
@@ -11,11 +11,11 @@
 /** Memory for a number of requests per second, without a reserve. */
 const memoryFor = (perSecond: number): number => (perSecond * memoryOf(SHAPE) * HOLD_MS) / 1_000;
 
-const forecast = (perSecond: number, readPerMs: number, memoryTokens: number): number => {
+const forecast = (perSecond: number, prefillTokensPerMs: number, memoryTokens: number): number => {
   const spans = makeDemandBuckets(SHAPE, () => perSecond, 20_000);
   return forecastLateShare(
     spans,
-    { prefillTokensPerMs: readPerMs, memoryTokens, tokenIntervalMs: TOKEN_MS },
+    { prefillTokensPerMs, memoryTokens, tokenIntervalMs: TOKEN_MS },
     OPTS,
   );
 };
--- a/packages/decisions/tests/service/concurrencyShare.test.ts
+++ b/packages/decisions/tests/service/concurrencyShare.test.ts
@@ -14,10 +14,10 @@
 
 // A host that is partitioned from all others must not take the capacity that they may be using.
 test('a host that hears no other host keeps to its equal share', () => {
-  [0, 2, 30].forEach((own) =>
+  [0, 2, 30].forEach((ownCalls) =>
     assert.equal(
-      concurrencyShare({ ...SERVICE, ownCalls: own, peerCalls: 0, silentHosts: 5 }),
-      own > 3 ? 3 : 3,
+      concurrencyShare({ ...SERVICE, ownCalls, peerCalls: 0, silentHosts: 5 }),
+      ownCalls > 3 ? 3 : 3,
     ),
   );
 });
@@ -25,8 +25,8 @@
 test('the shares of hosts that hear each other do not exceed the capacity', () => {
   const calls = [14, 9, 5, 2, 0, 0];
   const total = calls.reduce((sum, own) => sum + own, 0);
-  const shares = calls.map((own) =>
-    concurrencyShare({ ...SERVICE, ownCalls: own, peerCalls: total - own }),
+  const shares = calls.map((ownCalls) =>
+    concurrencyShare({ ...SERVICE, ownCalls, peerCalls: total - ownCalls }),
   );
   assert.ok(
     shares.reduce((sum, share) => sum + share, 0) <= SERVICE.concurrency + 1e-9,
--- a/packages/operator/src/apply/ConfigApply.ts
+++ b/packages/operator/src/apply/ConfigApply.ts
@@ -7,7 +7,7 @@
   ROOT_NAME,
   chunkConfig,
   configDigest,
-  manifestText,
+  serializeManifest,
   type ChunkedConfig,
   type ConfigRoot,
   type ObjectVersion,
@@ -132,7 +132,7 @@
       const attempt = await this.attempt();
       if (attempt.type === 'done') return attempt.outcome;
       attempts += 1;
-      await sleep(this.context.clock, backoff.next());
+      await sleep(this.context.clock, backoff.nextDelayMs());
     }
     const { changeId } = this.options;
     if (this.isSent) return err({ type: 'outcome_unknown', changeId });
@@ -246,7 +246,7 @@
     before: AcceptedRoot | undefined,
   ): Promise<Result<void, PlatformError>> {
     const inForce = new Set(before?.root.manifest.parts.map((part) => part.digest));
-    const text = manifestText(chunked.manifest);
+    const text = serializeManifest(chunked.manifest);
     const blobs = [
       ...chunked.chunks
         .filter((chunk) => !inForce.has(chunk.digest))
@@ -272,7 +272,7 @@
               version: before.version,
               changeId: before.root.changeId,
               requestDigest: before.root.requestDigest,
-              manifestDigest: sha256Hex(manifestText(before.root.manifest)),
+              manifestDigest: sha256Hex(serializeManifest(before.root.manifest)),
             },
             ...before.root.history,
           ];
--- a/packages/operator/src/apply/collectUnused.ts
+++ b/packages/operator/src/apply/collectUnused.ts
@@ -1,5 +1,10 @@
 import { sha256Hex, type Millis } from '@camphorvane/core';
-import { CHUNK_KIND, MANIFEST_KIND, manifestText, type StoredObject } from '@camphorvane/store';
+import {
+  CHUNK_KIND,
+  MANIFEST_KIND,
+  serializeManifest,
+  type StoredObject,
+} from '@camphorvane/store';
 import type { ApplyContext } from './ApplyContext.ts';
 import { readAcceptedRoot, readArchivedManifest, type AcceptedRoot } from './readAccepted.ts';
 
@@ -49,7 +54,7 @@
   if (manifests.some((manifest) => manifest.isErr())) return undefined;
   const earlier = manifests.flatMap((manifest) => manifest.unwrapOr(undefined)?.parts ?? []);
   return new Set([
-    sha256Hex(manifestText(root.manifest)),
+    sha256Hex(serializeManifest(root.manifest)),
     ...root.history.map((entry) => entry.manifestDigest),
     ...[...root.manifest.parts, ...earlier].map((part) => part.digest),
   ]);
--- a/packages/operator/src/apply/readAccepted.ts
+++ b/packages/operator/src/apply/readAccepted.ts
@@ -5,9 +5,9 @@
   MANIFEST_KIND,
   ROOT_NAME,
   assembleConfig,
-  readManifest,
-  readPart,
-  readRoot,
+  parseManifest,
+  parsePart,
+  parseRoot,
   type ConfigManifest,
   type ConfigRoot,
   type ObjectStore,
@@ -47,7 +47,7 @@
     .mapErr(readError)
     .andThen((object): Result<AcceptedRoot | undefined, ReadError> => {
       if (object === undefined) return ok(undefined);
-      const root = readRoot(object.value);
+      const root = parseRoot(object.value);
       if (root !== undefined) return ok({ version: object.version, root });
       const message = `version ${object.version} was written in a form that is not understood`;
       return err({ type: 'unreadable', message });
@@ -88,7 +88,7 @@
     .read(manifest.parts.map((part) => part.digest))
     .mapErr(readError)
     .andThen((texts): Result<RoutingConfig, ReadError> => {
-      const parts = manifest.parts.map(({ digest }) => readPart(digest, texts.get(digest) ?? ''));
+      const parts = manifest.parts.map(({ digest }) => parsePart(digest, texts.get(digest) ?? ''));
       const lost = manifest.parts.filter((_, i) => parts[i] === undefined);
       if (lost.length > 0) return err(unreadable(`part ${lost[0]!.name} is missing or damaged`));
       return ok(assembleConfig(parts.flatMap((part) => (part === undefined ? [] : [part]))));
@@ -127,7 +127,7 @@
   return store
     .get(MANIFEST_KIND, digest)
     .mapErr(readError)
-    .map((object) => readManifest(digest, textOf(object?.value)));
+    .map((object) => parseManifest(digest, textOf(object?.value)));
 }
 
 /** Gets the text of a stored chunk or manifest, empty where the value is of another form. */
--- a/packages/peer/tests/support/FakePlatform.ts
+++ b/packages/peer/tests/support/FakePlatform.ts
@@ -1,7 +1,7 @@
 import type { ResultAsync } from 'neverthrow';
 import { errAsync, okAsync } from 'neverthrow';
 import type {
-  Expected,
+  ExpectedVersion,
   HostEntry,
   ObjectStore,
   PlatformError,
@@ -34,7 +34,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError> {
     const current = this.get(kind, name);
     if ((current?.version ?? 'absent') !== expected) return errAsync({ type: 'conflict', current });
--- a/packages/router/src/cli/lossesCommand.ts
+++ b/packages/router/src/cli/lossesCommand.ts
@@ -3,7 +3,7 @@
 import type { CommandModule } from 'yargs';
 import { parseLogLines } from '../observe/logLines.ts';
 import { lossTable } from '../observe/lossTable.ts';
-import { requestStories } from '../observe/requestStories.ts';
+import { summarizeRequests } from '../observe/summarizeRequests.ts';
 
 /** File descriptor of standard input. */
 const STDIN_FD = 0;
@@ -40,13 +40,13 @@
   handler: ({ files, late, window }) => {
     const sources = files.length > 0 ? files : [STDIN_FD];
     const lines = sources.flatMap((source) => readFileSync(source, 'utf8').split('\n'));
-    const requests = requestStories(parseLogLines(lines));
+    const requests = summarizeRequests(parseLogLines(lines));
     if (requests.length === 0) {
       process.stderr.write('the logs have no line for an accepted request\n');
       process.exitCode = EXIT.invalid;
       return;
     }
-    const table = lossTable(requests, { lateWorth: late, windowMs: window });
+    const table = lossTable(requests, { lateValue: late, windowMs: window });
     process.stdout.write(`${table.join('\n')}\n`);
   },
 };
--- a/packages/router/src/cli/serveCommand.ts
+++ b/packages/router/src/cli/serveCommand.ts
@@ -2,12 +2,12 @@
 import { EXIT } from '@camphorvane/operator';
 import type { CommandModule } from 'yargs';
 import { startHost } from '../host/RunningHost.ts';
-import { BoundedLog } from '../observe/BoundedLog.ts';
-import { setLogOutput, stateLog } from '../observe/StateLog.ts';
+import { RateLimitedLog } from '../observe/RateLimitedLog.ts';
+import { setLogOutput, eventLog } from '../observe/EventLog.ts';
 import { stdoutSink } from '../observe/stdoutSink.ts';
 import { describeSettingsError, readHostSettings } from '../settings/HostSettings.ts';
 
-const log = stateLog('serve');
+const log = eventLog('serve');
 
 interface ServeArgs {
   readonly settings: string;
@@ -30,7 +30,7 @@
 };
 
 async function serve(file: string): Promise<void> {
-  setLogOutput(new BoundedLog(new SystemClock(), stdoutSink()));
+  setLogOutput(new RateLimitedLog(new SystemClock(), stdoutSink()));
   const settings = readHostSettings(file);
   if (settings.isErr()) {
     settings.error.forEach((error) => process.stderr.write(`${describeSettingsError(error)}\n`));
@@ -48,7 +48,7 @@
   process.stdout.write(
     `${settings.value.host.id} serves callers on ${callers.ip}:${callers.port}\n`,
   );
-  await Promise.race([waitForSignal(), running.drainAsked]);
+  await Promise.race([waitForSignal(), running.drainRequested]);
   log('draining', { host: settings.value.host.id });
   const secondSignal = waitForSignal().then(() => running.stop());
   await Promise.race([running.drain(), secondSignal]);
--- a/packages/router/src/cli/servePlatformCommand.ts
+++ b/packages/router/src/cli/servePlatformCommand.ts
@@ -6,13 +6,13 @@
 import { err } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import { startPlatformHost } from '../host/PlatformHost.ts';
-import { BoundedLog } from '../observe/BoundedLog.ts';
-import { setLogOutput, stateLog } from '../observe/StateLog.ts';
+import { RateLimitedLog } from '../observe/RateLimitedLog.ts';
+import { setLogOutput, eventLog } from '../observe/EventLog.ts';
 import { stdoutSink } from '../observe/stdoutSink.ts';
 import { VERSION } from '../version.ts';
 import { onHangup } from './hangups.ts';
 
-const log = stateLog('process');
+const log = eventLog('process');
 
 /**
  * Runs a host on the users' platform until a signal ends it.
@@ -23,7 +23,7 @@
   file: string | undefined = process.env[SETTINGS_VARIABLE],
 ): Promise<void> {
   const sink = stdoutSink();
-  setLogOutput(new BoundedLog(new SystemClock(), sink));
+  setLogOutput(new RateLimitedLog(new SystemClock(), sink));
   const settings = readSettings(file);
   if (settings.isErr()) {
     settings.error.forEach((problem) => process.stderr.write(`${file ?? ''}: ${problem}\n`));
@@ -40,7 +40,7 @@
   onHangup(() => logReload(file, settings.value));
   await waitForTermination();
   log('stop_begins', { host: settings.value.host });
-  await started.value.leave();
+  await started.value.drain();
   log('stop', { host: settings.value.host });
   await sink.flush();
   process.exit(EXIT.ok);
--- a/packages/router/src/agreement/DeploymentFeed.ts
+++ b/packages/router/src/coordination/DeploymentFeed.ts
@@ -1,6 +1,6 @@
 import type { Clock, Millis, RandomSource, VersionedConfig, ZoneId } from '@camphorvane/core';
 import type {
-  FollowedKind,
+  KindCopy,
   WatchableStore,
   DeployedConfig,
   DeploymentFormat,
@@ -13,13 +13,13 @@
 import type { SlowStart } from '@camphorvane/decisions';
 import type { DrainedZones } from '@camphorvane/peer/hints';
 import type { Unsubscribe } from '../host/ports.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import { composeRouting } from './composeRouting.ts';
-import type { ConfigFeed } from './HostAgreement.ts';
+import type { ConfigFeed } from './HostCoordination.ts';
 import { ServerRoster } from './ServerRoster.ts';
 import { ZoneDrains } from './ZoneDrains.ts';
 
-const log = stateLog('deployment');
+const log = eventLog('deployment');
 
 /** Options of a {@link DeploymentFeed}. */
 export interface DeploymentFeedOptions {
@@ -39,10 +39,10 @@
   readonly watchMs: Millis;
   /** Gets whether this host watches or polls the store. */
   readonly mode: () => FollowMode;
-  /** See {@link KindFollowerOptions.pollMs}. */
+  /** See {@link KindFollowerOptions.pollIntervalMs}. */
   readonly pollMs: () => Millis;
   /** Called when this host has learned of a change in the store, by itself or from a peer. */
-  readonly onNews: () => void;
+  readonly onStateChange: () => void;
   /** Whether operators may drain availability zones. */
   readonly drainsZones: boolean;
   /** Notified of servers that have just started. */
@@ -105,17 +105,23 @@
 
   /** Gets the store versions of the last known changes of the configuration and the servers. */
   getVersions(): { readonly config: ObjectVersion; readonly servers: ObjectVersion } {
-    return { config: this.configs.getChangedAt(), servers: this.servers.getChangedAt() };
+    return {
+      config: this.configs.getLastChangeVersion(),
+      servers: this.servers.getLastChangeVersion(),
+    };
   }
 
   /** Receives the versions that a peer has read; newer ones are fetched from the store. */
-  noteNewer(versions: { readonly config: ObjectVersion; readonly servers: ObjectVersion }): void {
-    this.configs.noteNewer(versions.config);
-    this.servers.noteNewer(versions.servers);
+  receiveVersions(versions: {
+    readonly config: ObjectVersion;
+    readonly servers: ObjectVersion;
+  }): void {
+    this.configs.receiveVersion(versions.config);
+    this.servers.receiveVersion(versions.servers);
   }
 
   /** Receives the drained zones as read from the store by this host or a peer. */
-  receiveDrained(read: DrainedZones): void {
+  receiveDrainedZones(read: DrainedZones): void {
     const wasKnown = this.drains.isKnown();
     const { drained, restored } = this.drains.receive(read);
     if (drained.length + restored.length > 0) {
@@ -125,7 +131,7 @@
         revision: read.version,
       });
       this.recordRestored(restored);
-      this.options.onNews();
+      this.options.onStateChange();
     }
     if (drained.length + restored.length > 0 || wasKnown !== this.drains.isKnown()) this.compose();
   }
@@ -139,7 +145,9 @@
   isConfirmed(): boolean {
     const { strictKeysMs, clock } = this.options;
     if (this.inForce === undefined) return false;
-    return strictKeysMs === undefined || clock.now() - this.configs.getAnsweredAt() < strictKeysMs;
+    return (
+      strictKeysMs === undefined || clock.now() - this.configs.getLastResponseAt() < strictKeysMs
+    );
   }
 
   /** {@inheritDoc ConfigFeed.confirmNow} */
@@ -163,13 +171,13 @@
     const now = this.options.clock.now();
     return {
       version: this.inForce?.version ?? 0,
-      answeredMsAgo: Math.round(now - this.configs.getAnsweredAt()),
+      answeredMsAgo: Math.round(now - this.configs.getLastResponseAt()),
       servers: this.roster.list(now).length,
       drainedZones: this.drains.get().zones,
     };
   }
 
-  private follow(kind: string, onRound: (round: FollowedKind) => void): KindFollower {
+  private follow(kind: string, onSync: (round: KindCopy) => void): KindFollower {
     const { store, clock, random } = this.options;
     return new KindFollower({
       store,
@@ -178,20 +186,20 @@
       random,
       watchMs: this.options.watchMs,
       mode: this.options.mode,
-      pollMs: this.options.pollMs,
-      onRound,
-      onStore: (state, reason) => log(`store_${state}`, { kind, reason }),
+      pollIntervalMs: this.options.pollMs,
+      onSync,
+      onStoreState: (state, reason) => log(`store_${state}`, { kind, reason }),
     });
   }
 
   /** Applies a configuration newer than the one in force; an older one is a late answer. */
-  private applyConfig({ objects }: FollowedKind): void {
+  private applyConfig({ objects }: KindCopy): void {
     const { format } = this.options;
     this.notifyNewVersions();
     const object = objects.get(format.configName);
     if (object === undefined || object.version === this.lastReadConfigVersion) return;
     this.lastReadConfigVersion = object.version;
-    const read = format.readConfig(object);
+    const read = format.parseConfig(object);
     if (read.isErr()) {
       log('config_unreadable', { problem: read.error, revision: object.version });
       return;
@@ -201,30 +209,30 @@
     this.compose();
   }
 
-  private applyServers({ objects, awayMs }: FollowedKind): void {
+  private applyServers({ objects, outageMs }: KindCopy): void {
     const { format, clock } = this.options;
     this.notifyNewVersions();
     const entries = [...objects.values()].map((object): ServerEntry => {
       const known = this.serverEntries.get(object.name);
       if (known?.object.version === object.version) return known;
-      const server = format.readServer(object);
+      const server = format.parseServer(object);
       this.recordStart(server);
       return { object, server };
     });
     this.serverEntries = new Map(entries.map((entry) => [entry.object.name, entry]));
     this.options.slowStart.retain(new Set(this.serverEntries.keys()));
     const listed = entries.map(({ server }) => server).filter((server) => server !== undefined);
-    this.roster.update(listed, awayMs, clock.now());
+    this.roster.update(listed, outageMs, clock.now());
     this.hasServers = true;
     this.compose();
-    const change = this.roster.nextChange(clock.now());
+    const change = this.roster.getGraceEnd(clock.now());
     if (change !== undefined) clock.after(change - clock.now(), () => this.compose());
   }
 
   /** Applies the store's full list: a zone without an entry is no longer drained. */
-  private applyDrainedZones({ objects }: FollowedKind): void {
+  private applyDrainedZones({ objects }: KindCopy): void {
     const version = this.drainEntries?.getVersion() ?? 0;
-    this.receiveDrained({ version, zones: [...objects.keys()].sort() });
+    this.receiveDrainedZones({ version, zones: [...objects.keys()].sort() });
   }
 
   private recordStart(server: ServerRecord | undefined): void {
@@ -246,7 +254,7 @@
     const current = `${config} ${servers}`;
     if (current === this.notifiedVersions) return;
     this.notifiedVersions = current;
-    this.options.onNews();
+    this.options.onStateChange();
   }
 
   private compose(): void {
--- a/packages/router/src/agreement/DigestBuilder.ts
+++ b/packages/router/src/coordination/DigestBuilder.ts
@@ -30,7 +30,7 @@
 }
 
 /** Sums over the recent hints of all hosts. */
-export interface HintSums {
+export interface AggregatedHints {
   readonly engines: ReadonlyMap<UpstreamId, EngineHint>;
   readonly calls: ReadonlyMap<ServiceId, number>;
   /** How many hosts report an engine as down. */
@@ -46,7 +46,7 @@
 }
 
 /** Fields of a digest beside the sums. */
-export type DigestHead = Pick<HostDigest, 'host' | 'incarnation' | 'sequence' | 'silent'>;
+export type DigestHeader = Pick<HostDigest, 'host' | 'incarnation' | 'sequence' | 'silent'>;
 
 /**
  * Collects the hints of many hosts and builds a digest of them for each receiver.
@@ -76,26 +76,26 @@
   }
 
   /** Removes hosts whose next hint has not arrived within its TTL. */
-  forget(now: Millis): void {
+  removeExpired(now: Millis): void {
     [...this.hints]
       .filter(([, { receivedAt, hint }]) => now - receivedAt > gossipTtlMs(hint.nextMs))
       .forEach(([host]) => this.hints.delete(host));
   }
 
   /** Gets the hosts with a recent hint. */
-  getHeard(): readonly HostId[] {
+  getLiveHosts(): readonly HostId[] {
     return [...this.hints.keys()];
   }
 
   /** Gets the hosts with a recent hint that subscribe to digests, and how often they want them. */
-  getAsking(): readonly Pick<HostHint, 'host' | 'digests'>[] {
+  getSubscribers(): readonly Pick<HostHint, 'host' | 'digests'>[] {
     return [...this.hints.values()]
       .map(({ hint }) => hint)
       .filter((hint) => hint.digests !== 'none');
   }
 
   /** Sums up the hints of all hosts, once for all digests of a round. */
-  sumUp(): HintSums {
+  aggregate(): AggregatedHints {
     const hints = [...this.hints.values()].map(({ hint }) => hint);
     const demands = [...this.demandByHost.values()].flatMap((demand) => [...demand]);
     return {
@@ -128,7 +128,7 @@
    * @param head - The other fields of the digest.
    * @returns The digest.
    */
-  digestFor(receiver: HostId, sums: HintSums, head: DigestHead): HostDigest {
+  digestFor(receiver: HostId, sums: AggregatedHints, head: DigestHeader): HostDigest {
     const own = this.hints.get(receiver)?.hint;
     return {
       ...head,
@@ -179,7 +179,10 @@
     this.demandByHost.set(hint.host, own);
   }
 
-  private demandWithout(receiver: HostId, { demand, waiting }: HintSums): readonly DemandHint[] {
+  private demandWithout(
+    receiver: HostId,
+    { demand, waiting }: AggregatedHints,
+  ): readonly DemandHint[] {
     const own = this.demandByHost.get(receiver);
     const others = countsWithout(
       waiting,
--- a/packages/router/src/agreement/SharedRates.ts
+++ b/packages/router/src/coordination/GossipRateGate.ts
@@ -15,13 +15,13 @@
 import { errAsync, okAsync } from 'neverthrow';
 import type { ResultAsync } from 'neverthrow';
 import type { RateCharge } from '../host/ports.ts';
-import { stateLog } from '../observe/StateLog.ts';
-import type { TeamGate } from './HostAgreement.ts';
+import { eventLog } from '../observe/EventLog.ts';
+import type { TeamRateGate } from './HostCoordination.ts';
 
-const log = stateLog('rates');
+const log = eventLog('rates');
 
 /** Rate gate that charges teams by the gossiped charges of all hosts, without a request to a peer. */
-export class SharedRates implements TeamGate {
+export class GossipRateGate implements TeamRateGate {
   private readonly clock: Clock;
 
   private readonly rates: DistributedRateLimiter;
@@ -48,7 +48,7 @@
   }
 
   /** Applies a changed set of peers. */
-  setSharers(hosts: readonly HostId[]): void {
+  setPeers(hosts: readonly HostId[]): void {
     this.rates.setSharers(hosts, this.clock.now());
   }
 
@@ -58,13 +58,13 @@
   }
 
   /** Receives the charges of all peers together from a relay. */
-  receiveSum({ host, incarnation, heard, charged }: HostDigest): void {
+  receiveDigest({ host, incarnation, heard, charged }: HostDigest): void {
     const digest = { relay: host, incarnation, heard, totals: new Map(charged) };
     this.rates.receiveDigest(digest, this.clock.now());
   }
 
   /** Gets the total charges of this host, to be sent to its peers. */
-  getCharged(): readonly (readonly [TeamId, Tokens])[] {
+  getChargedTotals(): readonly (readonly [TeamId, Tokens])[] {
     return [...this.rates.getTotals()];
   }
 
--- a/packages/router/src/agreement/GroupAgreement.ts
+++ b/packages/router/src/coordination/GroupCoordination.ts
@@ -15,14 +15,18 @@
 } from '@camphorvane/store';
 import { ConfigRelay } from '../host/ConfigRelay.ts';
 import { GroupAdapter } from '../host/GroupAdapter.ts';
-import type { RepeatGate } from '../host/ports.ts';
+import type { RetryGate } from '../host/ports.ts';
 import { FallbackPlacer } from '../placing/FallbackPlacer.ts';
 import { PlacementClient } from '../placing/PlacementClient.ts';
 import { CoordinatorRegistry } from '../placing/CoordinatorRegistry.ts';
 import { CrashGuard } from '../serving/CrashGuard.ts';
 import { teamRetryGate } from '../serving/retryGates.ts';
-import type { AgreementContext, AgreementFactory, HostAgreement } from './HostAgreement.ts';
-import { OutageRates } from './OutageRates.ts';
+import type {
+  CoordinationContext,
+  CoordinationFactory,
+  HostCoordination,
+} from './HostCoordination.ts';
+import { OutageRateGate } from './OutageRateGate.ts';
 
 /** Interval between two announcements in the store's host list, in milliseconds. */
 const ANNOUNCE_PERIOD_MS: Millis = 5_000;
@@ -30,8 +34,8 @@
 /** Timeout for leaving the group, in milliseconds; the host then ends without having left. */
 const LEAVE_TIMEOUT_MS: Millis = 10_000;
 
-/** Options of a {@link GroupAgreement}; store and link are interfaces, so that it also runs in memory. */
-export interface GroupOptions {
+/** Options of a {@link GroupCoordination}; store and link are interfaces, so that it also runs in memory. */
+export interface GroupCoordinationOptions {
   readonly group: string;
   readonly groupSize: number;
   /** Number of hosts in the whole fleet, which share the rate limits of the store. */
@@ -41,31 +45,31 @@
 }
 
 /** Coordination as a group: epochs, exact shares of the rates and a coordinator for each pool. */
-export class GroupAgreement implements HostAgreement {
+export class GroupCoordination implements HostCoordination {
   readonly config: ConfigFollower;
 
   readonly group: GroupAdapter;
 
-  readonly rates: OutageRates;
+  readonly rates: OutageRateGate;
 
   private readonly shares: TeamRates;
 
-  readonly repeats: RepeatGate;
+  readonly retryGate: RetryGate;
 
   readonly placer: PlacementClient;
 
-  readonly crashes: CrashGuard;
+  readonly crashGuard: CrashGuard;
 
   /** Without limits: this configuration has no slow start settings. */
   readonly slowStart = new SlowStart();
 
   readonly claims: IdempotencyClaims;
 
-  readonly endsWithdrawn = true;
+  readonly abortsOnKeyWithdrawal = true;
 
-  private readonly options: GroupOptions;
+  private readonly options: GroupCoordinationOptions;
 
-  private readonly context: AgreementContext;
+  private readonly context: CoordinationContext;
 
   private readonly runner: GroupRunner;
 
@@ -83,7 +87,7 @@
    * @param options - The group, the store and the link.
    * @param context - The host that is a member.
    */
-  constructor(options: GroupOptions, context: AgreementContext) {
+  constructor(options: GroupCoordinationOptions, context: CoordinationContext) {
     this.options = options;
     this.context = context;
     const { clock, random, identity, incarnation, directory } = context;
@@ -129,15 +133,15 @@
       link,
       authority: new GroupAuthority(this.runner, selfKey),
     });
-    this.rates = new OutageRates({
+    this.rates = new OutageRateGate({
       clock,
       self: identity.host,
       shares: this.shares,
       members: () => group.members().map((member) => member.host),
       mayAct: () => group.mayAct(),
     });
-    this.repeats = teamRetryGate(new RetryBudget());
-    this.crashes = new CrashGuard({ self: identity.host, clock, group, link });
+    this.retryGate = teamRetryGate(new RetryBudget());
+    this.crashGuard = new CrashGuard({ self: identity.host, clock, group, link });
     this.coordinators = new CoordinatorRegistry({ clock, random, group, directory, incarnation });
     this.fallback = new FallbackPlacer({
       clock,
@@ -178,7 +182,7 @@
   async leave(): Promise<void> {
     await this.shares.handBack();
     await this.runner.leave(LEAVE_TIMEOUT_MS);
-    await this.options.store.withdraw(this.context.identity.host);
+    await this.options.store.deregister(this.context.identity.host);
   }
 
   /** {@inheritDoc HostCoordination.stop} */
@@ -193,7 +197,7 @@
   }
 
   /** {@inheritDoc HostCoordination.handlePeerRequest} */
-  async answer(from: PeerSender, req: PeerRequest): Promise<PeerResponse> {
+  async handlePeerRequest(from: PeerSender, req: PeerRequest): Promise<PeerResponse> {
     switch (req.type) {
       case 'membership': {
         const message = this.runner.answer(req.message);
@@ -202,7 +206,7 @@
           : { type: 'membership', message };
       }
       case 'crashes':
-        this.crashes.receiveReports(req.reports);
+        this.crashGuard.receiveReports(req.reports);
         return { type: 'ok' };
       case 'share_sync':
         return this.shares.answerSync(from, req.message);
@@ -227,7 +231,7 @@
   }
 
   /** {@inheritDoc HostCoordination.getCoordinatedModels} */
-  getCoordinated(): readonly ModelId[] {
+  getCoordinatedModels(): readonly ModelId[] {
     return this.coordinators.getModels();
   }
 
@@ -256,7 +260,7 @@
   private async announceOnce(): Promise<void> {
     const { host, ...rest } = this.context.identity;
     const state = this.leaving ? 'leaving' : 'live';
-    await this.options.store.announce({ id: host, ...rest, state });
+    await this.options.store.register({ id: host, ...rest, state });
   }
 
   /** A member of the epoch may still be running its call; a start that is no member never will. */
@@ -271,11 +275,11 @@
 }
 
 /**
- * Gets the factory of a {@link GroupAgreement}.
+ * Gets the factory of a {@link GroupCoordination}.
  *
  * @param options - The group, the store and the link.
  * @returns The factory.
  */
-export function groupAgreement(options: GroupOptions): AgreementFactory {
-  return (context) => new GroupAgreement(options, context);
+export function groupCoordination(options: GroupCoordinationOptions): CoordinationFactory {
+  return (context) => new GroupCoordination(options, context);
 }
--- a/packages/router/src/agreement/HintReceiver.ts
+++ b/packages/router/src/coordination/HintReceiver.ts
@@ -5,13 +5,13 @@
 import type { ConcurrencyShares } from '../serving/ConcurrencyShares.ts';
 import type { DeploymentFeed } from './DeploymentFeed.ts';
 import type { HostRoster } from './HostRoster.ts';
-import type { SharedRates } from './SharedRates.ts';
+import type { GossipRateGate } from './GossipRateGate.ts';
 
 /** Options of a {@link HintReceiver}: the parts of a host that use what its peers report. */
 export interface HintReceiverOptions {
   readonly clock: Clock;
   readonly hosts: HostRoster;
-  readonly rates: SharedRates;
+  readonly rates: GossipRateGate;
   readonly config: DeploymentFeed;
   readonly knowledge: EngineKnowledge;
   readonly probes: EngineProbes;
@@ -33,30 +33,30 @@
     const now = clock.now();
     hosts.receive(hint, now);
     rates.receive(hint);
-    config.noteNewer(hint.versions);
-    config.receiveDrained(hint.drained);
-    const { inFlight: use, demand, roleChanges: moves, peerBacklog: waiting } = knowledge;
-    use.receive(hint.host, loadsOf(hint.engines), now);
-    waiting.receive(hint.host, waitingOf(hint.demand), now);
+    config.receiveVersions(hint.versions);
+    config.receiveDrainedZones(hint.drained);
+    const { inFlight, demand, roleChanges, peerBacklog } = knowledge;
+    inFlight.receive(hint.host, loadsOf(hint.engines), now);
+    peerBacklog.receive(hint.host, waitingOf(hint.demand), now);
     demand.receive(hint.host, hint.incarnation, hint.demand, now);
-    moves.receive(hint.moves, now);
+    roleChanges.receive(hint.moves, now);
     probes.receive(hint.down);
     calls.receive(hint.host, new Map(hint.calls), now);
   }
 
   /** Receives the sums over all peers from a relay. */
-  receiveSum(digest: HostDigest): void {
+  receiveDigest(digest: HostDigest): void {
     const { clock, hosts, rates, config, knowledge, probes, calls } = this.options;
     const now = clock.now();
     hosts.receiveDigest(digest, now);
-    rates.receiveSum(digest);
-    config.noteNewer(digest.versions);
-    config.receiveDrained(digest.drained);
-    const { inFlight: use, demand, roleChanges: moves, peerBacklog: waiting } = knowledge;
-    use.receiveSum(loadsOf(digest.engines), digest.heard, now);
-    waiting.receiveSum(waitingOf(digest.demand), digest.heard, now);
+    rates.receiveDigest(digest);
+    config.receiveVersions(digest.versions);
+    config.receiveDrainedZones(digest.drained);
+    const { inFlight, demand, roleChanges, peerBacklog } = knowledge;
+    inFlight.receiveSum(loadsOf(digest.engines), digest.heard, now);
+    peerBacklog.receiveSum(waitingOf(digest.demand), digest.heard, now);
     demand.receiveRelayed(`${digest.host} ${digest.incarnation}`, digest.demand, now);
-    moves.receive(digest.moves, now);
+    roleChanges.receive(digest.moves, now);
     probes.receive(digest.down);
     calls.receiveSum(new Map(digest.calls), digest.heard, now);
   }
--- a/packages/router/src/agreement/HostAgreement.ts
+++ b/packages/router/src/coordination/HostCoordination.ts
@@ -7,7 +7,7 @@
   GroupGate,
   HostIdentity,
   RateGate,
-  RepeatGate,
+  RetryGate,
   Unsubscribe,
 } from '../host/ports.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
@@ -25,13 +25,13 @@
 }
 
 /** Rate gate whose teams can be reconfigured while the host runs. */
-export interface TeamGate extends RateGate {
+export interface TeamRateGate extends RateGate {
   /** Applies the changed teams. */
   setTeams(teams: readonly TeamConfig[]): void;
 }
 
 /** Placer whose engines can be reconfigured while the host runs. */
-export interface ChangingPlacer extends Placer {
+export interface ReconfigurablePlacer extends Placer {
   /** Re-reads the engines, the hosts and the coordinators of the pools. */
   refresh(): void;
 }
@@ -42,19 +42,19 @@
  * Request handling does not depend on the implementation. One uses a group with epochs and a
  * coordinator for each pool; the other one uses only the store and load reports sent by gossip.
  */
-export interface HostAgreement {
+export interface HostCoordination {
   readonly config: ConfigFeed;
   readonly group: GroupGate;
-  readonly rates: TeamGate;
-  readonly repeats: RepeatGate;
-  readonly placer: ChangingPlacer;
-  readonly crashes: CrashGuard;
+  readonly rates: TeamRateGate;
+  readonly retryGate: RetryGate;
+  readonly placer: ReconfigurablePlacer;
+  readonly crashGuard: CrashGuard;
   /** Limits the requests that this host sends to upstreams that have just started. */
   readonly slowStart: SlowStart;
   /** Claims calls that must not run twice in the store; undefined where they are not claimed. */
   readonly claims: IdempotencyClaims | undefined;
   /** Whether running requests are aborted when their API key is withdrawn. */
-  readonly endsWithdrawn: boolean;
+  readonly abortsOnKeyWithdrawal: boolean;
 
   /** Starts the background tasks, which run until the signal is aborted. */
   start(signal: AbortSignal): void;
@@ -69,10 +69,10 @@
   stop(): void;
 
   /** Handles a request of a peer. */
-  answer(from: PeerSender, req: PeerRequest): Promise<PeerResponse>;
+  handlePeerRequest(from: PeerSender, req: PeerRequest): Promise<PeerResponse>;
 
   /** Gets the models whose pools this host coordinates. */
-  getCoordinated(): readonly ModelId[];
+  getCoordinatedModels(): readonly ModelId[];
 
   /** Gets the epoch of the group's membership; 0 where there is none. */
   getEpoch(): number;
@@ -81,8 +81,8 @@
   dump(): object;
 }
 
-/** Dependencies of a {@link HostAgreement}. */
-export interface AgreementContext {
+/** Dependencies of a {@link HostCoordination}. */
+export interface CoordinationContext {
   readonly identity: HostIdentity;
   readonly incarnation: string;
   readonly clock: Clock;
@@ -92,5 +92,5 @@
   readonly calls: ConcurrencyShares;
 }
 
-/** Creates the {@link HostAgreement} of a host. */
-export type AgreementFactory = (context: AgreementContext) => HostAgreement;
+/** Creates the {@link HostCoordination} of a host. */
+export type CoordinationFactory = (context: CoordinationContext) => HostCoordination;
--- a/packages/router/src/agreement/HostRecords.ts
+++ b/packages/router/src/coordination/HostRecords.ts
@@ -3,13 +3,13 @@
 import type { GossipTimings } from '@camphorvane/decisions';
 import { gossipTimings } from '@camphorvane/decisions';
 import type { StoredObject, WatchableStore } from '@camphorvane/store';
-import { OwnRecord } from '@camphorvane/store';
-import { stateLog } from '../observe/StateLog.ts';
+import { SingleWriterObject } from '@camphorvane/store';
+import { eventLog } from '../observe/EventLog.ts';
 import type { HostRecord } from './hostRecord.ts';
 import { readHostRecord } from './hostRecord.ts';
 import type { HostRoster } from './HostRoster.ts';
 
-const log = stateLog('hosts');
+const log = eventLog('hosts');
 
 /** Options of {@link HostRecords}. */
 export interface HostRecordsOptions {
@@ -25,21 +25,21 @@
   readonly roster: HostRoster;
   readonly isLeaving: () => boolean;
   /** Called with the peers that have a record, whenever they change. */
-  readonly onSharers: (others: readonly HostId[]) => void;
+  readonly onPeersChange: (others: readonly HostId[]) => void;
 }
 
 /** Renews the record of this host in the store, reads those of its peers and removes expired ones. */
 export class HostRecords {
   private readonly options: HostRecordsOptions;
 
-  private readonly own: OwnRecord;
+  private readonly own: SingleWriterObject;
 
   private peers: readonly HostId[] = [];
 
   /** @param options - The store, this host and the callbacks. */
   constructor(options: HostRecordsOptions) {
     this.options = options;
-    this.own = new OwnRecord(options.store, options.kind, options.identity.host);
+    this.own = new SingleWriterObject(options.store, options.kind, options.identity.host);
   }
 
   /** Writes and reads records until the signal is aborted. */
@@ -74,7 +74,7 @@
   }
 
   private applyRecords(objects: readonly StoredObject[]): void {
-    const { store, kind, clock, roster, onSharers } = this.options;
+    const { store, kind, clock, roster, onPeersChange } = this.options;
     const records = objects
       .map((object) => ({ record: readHostRecord(object), version: object.version }))
       .flatMap(({ record, version }) => (record === undefined ? [] : [{ record, version }]));
@@ -83,14 +83,14 @@
       log('host_forgotten', { host });
       void store.remove(kind, host, version);
     });
-    const peers = roster.getOthers();
+    const peers = roster.getPeers();
     if (peers.join() === this.peers.join()) return;
     log('sharers', { before: this.peers.length + 1, now: peers.length + 1 });
     this.peers = peers;
-    onSharers(peers);
+    onPeersChange(peers);
   }
 
   private timings(): GossipTimings {
-    return gossipTimings(this.options.roster.countSharers());
+    return gossipTimings(this.options.roster.countHosts());
   }
 }
--- a/packages/router/src/agreement/HostRoster.ts
+++ b/packages/router/src/coordination/HostRoster.ts
@@ -27,13 +27,13 @@
 /** Addresses that a host sends its hints to in a large fleet. */
 export interface HintAddresses {
   /** Hosts asked for digests: the relay of the zone, since cross-zone traffic costs more, and a silent host. */
-  readonly asked: readonly string[];
+  readonly digestSources: readonly string[];
   /** Hosts that get hints but are not asked for digests. */
-  readonly others: readonly string[];
+  readonly hintOnly: readonly string[];
 }
 
 /** State of the other hosts as reported by a relay. */
-export interface HeardHosts {
+export interface RelayedHostStates {
   readonly host: HostId;
   /** Hosts with a record but no recent hint at the relay. */
   readonly silent: readonly HostId[];
@@ -43,7 +43,7 @@
 }
 
 /** State of a host as reported by its hint. */
-export type HintHead = Pick<HostHint, 'host' | 'leaving' | 'serving' | 'nextMs'>;
+export type ReportedHostState = Pick<HostHint, 'host' | 'leaving' | 'serving' | 'nextMs'>;
 
 /** State from the last hint of a host, with its expiry. */
 interface ReceivedHint {
@@ -142,14 +142,14 @@
   }
 
   /** Receives the hint of a host. */
-  receive({ host, leaving, serving, nextMs }: HintHead, now: Millis): void {
+  receive({ host, leaving, serving, nextMs }: ReportedHostState, now: Millis): void {
     const expiresAt = now + Math.max(MIN_HINT_TTL_MS, gossipTtlMs(nextMs));
     this.hints.set(host, { leaving, serving, expiresAt });
   }
 
   /** Receives the digest of a relay; hosts that it doesn't list as silent are alive. */
-  receiveDigest({ host, silent, leaving, serving }: HeardHosts, now: Millis): void {
-    this.sawAlive(host, now);
+  receiveDigest({ host, silent, leaving, serving }: RelayedHostStates, now: Millis): void {
+    this.recordSignOfLife(host, now);
     this.digest = {
       silent: new Set(silent),
       leaving: new Set(leaving),
@@ -164,19 +164,19 @@
   }
 
   /** Gets all peers that have a record, sorted by name. */
-  getOthers(): readonly HostId[] {
+  getPeers(): readonly HostId[] {
     return this.peers;
   }
 
   /** Gets the number of hosts that share the limits of the fleet, this one included. */
-  countSharers(): number {
+  countHosts(): number {
     return this.peers.length + 1;
   }
 
   /** Gets the hosts whose records have expired, with the versions of the records. */
   getExpired(): readonly { readonly host: HostId; readonly version: number }[] {
     return [...this.records.values()]
-      .filter(({ record, ageMs }) => record.host !== this.self && ageMs > this.recordLifeMs())
+      .filter(({ record, ageMs }) => record.host !== this.self && ageMs > this.recordTtlMs())
       .map(({ record, version }) => ({ host: record.host, version }));
   }
 
@@ -193,12 +193,12 @@
   }
 
   /** Records a sign of life of a host other than a hint. */
-  sawAlive(host: HostId, now: Millis): void {
+  recordSignOfLife(host: HostId, now: Millis): void {
     this.aliveUntil.set(host, now + this.silenceTimeoutMs());
   }
 
   /** Tells whether this host has an unexpired digest of a relay. */
-  isToldByRelay(now: Millis): boolean {
+  hasFreshDigest(now: Millis): boolean {
     return this.digest !== undefined && this.digest.expiresAt >= now;
   }
 
@@ -210,7 +210,7 @@
         (record.host === this.self ||
           (this.isAlive(record.host, now) && !this.isLeaving(record, now))),
     );
-    return isServing(this.self, zone, this.countSharers());
+    return isServing(this.self, zone, this.countHosts());
   }
 
   /**
@@ -241,7 +241,7 @@
     const next = silentHosts[this.probedIndex];
     const others = relays.filter((relay) => relay !== home);
     const asked = [home, next].filter((record) => record !== undefined);
-    return { asked: asked.map(addressOf), others: others.map(addressOf) };
+    return { digestSources: asked.map(addressOf), hintOnly: others.map(addressOf) };
   }
 
   /** Gets the relay that this host asks for digests; undefined for a relay. */
@@ -294,10 +294,10 @@
   }
 
   /** Gets the TTL of a record, in milliseconds. */
-  recordLifeMs(): Millis {
+  recordTtlMs(): Millis {
     return Math.max(
       MIN_RECORD_TTL_MS,
-      gossipTimings(this.countSharers()).recordMs * RECORD_TTL_INTERVALS,
+      gossipTimings(this.countHosts()).recordMs * RECORD_TTL_INTERVALS,
     );
   }
 
@@ -313,7 +313,7 @@
   }
 
   private isAliveByDigest(host: HostId, now: Millis): boolean {
-    if (!this.isToldByRelay(now) || !this.records.has(host)) return false;
+    if (!this.hasFreshDigest(now) || !this.records.has(host)) return false;
     return this.digest?.silent.has(host) === false;
   }
 
@@ -337,7 +337,7 @@
   }
 
   private silenceTimeoutMs(): Millis {
-    return Math.max(MIN_HINT_TTL_MS, gossipTimings(this.countSharers()).silentMs);
+    return Math.max(MIN_HINT_TTL_MS, gossipTimings(this.countHosts()).silentMs);
   }
 }
 
--- a/packages/router/src/agreement/OutageRates.ts
+++ b/packages/router/src/coordination/OutageRateGate.ts
@@ -4,10 +4,10 @@
 import { errAsync, okAsync } from 'neverthrow';
 import type { ResultAsync } from 'neverthrow';
 import type { RateCharge } from '../host/ports.ts';
-import type { TeamGate } from './HostAgreement.ts';
+import type { TeamRateGate } from './HostCoordination.ts';
 
-/** Options of {@link OutageRates}. */
-export interface OutageRatesOptions {
+/** Options of {@link OutageRateGate}. */
+export interface OutageRateGateOptions {
   readonly clock: Clock;
   readonly self: HostId;
   /** Exact shares, which need a coordinator for each team. */
@@ -27,8 +27,8 @@
  * included, stays within the rate. A host without a confirming majority uses no equal share, since the
  * group may have continued without it.
  */
-export class OutageRates implements TeamGate {
-  private readonly options: OutageRatesOptions;
+export class OutageRateGate implements TeamRateGate {
+  private readonly options: OutageRateGateOptions;
 
   /** Limiter with equal shares: it receives no charges of peers, so it leaves each peer its share. */
   private readonly fallback = new DistributedRateLimiter({ over: 0, slackTokens: 0, windowMs: 1 });
@@ -39,7 +39,7 @@
   private readonly fallbackCharges = new WeakSet<RateCharge>();
 
   /** @param options - The exact shares and the state of the group. */
-  constructor(options: OutageRatesOptions) {
+  constructor(options: OutageRateGateOptions) {
     this.options = options;
   }
 
--- a/packages/router/src/agreement/PeerGossip.ts
+++ b/packages/router/src/coordination/PeerGossip.ts
@@ -3,12 +3,12 @@
 import type { GossipTimings } from '@camphorvane/decisions';
 import { gossipTimings } from '@camphorvane/decisions';
 import type { HintLink, HostDigest, HostHint } from '@camphorvane/peer/hints';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import type { HostRoster } from './HostRoster.ts';
 import { DigestBuilder } from './DigestBuilder.ts';
-import type { HintSums } from './DigestBuilder.ts';
+import type { AggregatedHints } from './DigestBuilder.ts';
 
-const log = stateLog('hosts');
+const log = eventLog('hosts');
 
 /** Digest intervals without a digest after which the relay has timed out. */
 const RELAY_TIMEOUT_INTERVALS = 3;
@@ -23,7 +23,7 @@
 const BUSY_HOLD_MS: Millis = 3_000;
 
 /** Content of a hint without its header. */
-export type OwnReport = Omit<
+export type HintContent = Omit<
   HostHint,
   'host' | 'incarnation' | 'sequence' | 'digests' | 'serving' | 'nextMs'
 >;
@@ -36,7 +36,7 @@
   readonly link: HintLink;
   readonly roster: HostRoster;
   /** Gets the content of this host's next hint. */
-  readonly hint: () => OwnReport;
+  readonly hint: () => HintContent;
   /** Called in a full mesh with each hint of a peer that is newer than the last one. */
   readonly onHint: (hint: HostHint) => void;
   /** Called with each digest of the relay that this host follows. */
@@ -95,7 +95,7 @@
   }
 
   /** Sends the next hint early, since the state of this host has changed. */
-  noteNews(): void {
+  recordStateChange(): void {
     this.hasStateChange = true;
     this.changedAt = this.options.clock.now();
     this.sendDelay.interrupt();
@@ -111,13 +111,13 @@
       link.send(hint, roster.getPeerAddresses());
       return;
     }
-    const { asked, others } = roster.getHintAddresses(clock.now());
+    const { digestSources, hintOnly } = roster.getHintAddresses(clock.now());
     const isRelayLost = this.isRelayTimedOut();
     link.send(
       { ...hint, digests: this.isBusy() ? 'often' : 'seldom' },
-      isRelayLost ? [...asked, ...others] : asked,
+      isRelayLost ? [...digestSources, ...hintOnly] : digestSources,
     );
-    if (!isRelayLost) link.send(hint, others);
+    if (!isRelayLost) link.send(hint, hintOnly);
   }
 
   private async runSendLoop(signal: AbortSignal): Promise<void> {
@@ -140,13 +140,13 @@
   private sendDigests(): void {
     const { self, clock, link, roster } = this.options;
     const now = clock.now();
-    this.builder.forget(now);
-    const subscribers = this.builder.getAsking().filter(({ host }) => host !== self);
-    if (this.builder.getHeard().every((host) => host === self)) return;
+    this.builder.removeExpired(now);
+    const subscribers = this.builder.getSubscribers().filter(({ host }) => host !== self);
+    if (this.builder.getLiveHosts().every((host) => host === self)) return;
     this.builder.receive(this.buildHint(), now);
-    const sums = this.builder.sumUp();
-    const received = new Set(this.builder.getHeard());
-    const silent = roster.getOthers().filter((host) => !received.has(host));
+    const sums = this.builder.aggregate();
+    const received = new Set(this.builder.getLiveHosts());
+    const silent = roster.getPeers().filter((host) => !received.has(host));
     const due = subscribers.filter((subscriber) => this.isDue(subscriber, now));
     due.forEach(({ host }) => {
       this.digestSentAt.set(host, now);
@@ -163,7 +163,11 @@
     return digests === 'often' || sinceMs >= standbyDigestMs - digestMs / 2;
   }
 
-  private buildDigest(receiver: HostId, sums: HintSums, silent: readonly HostId[]): HostDigest {
+  private buildDigest(
+    receiver: HostId,
+    sums: AggregatedHints,
+    silent: readonly HostId[],
+  ): HostDigest {
     const { self, incarnation } = this.options;
     this.sequence += 1;
     const head = { host: self, incarnation, sequence: this.sequence, silent };
@@ -193,7 +197,7 @@
 
   private receiveDigest(digest: HostDigest): void {
     if (!this.timings().isRelayed) return;
-    this.options.roster.sawAlive(digest.host, this.options.clock.now());
+    this.options.roster.recordSignOfLife(digest.host, this.options.clock.now());
     if (!this.acceptsDigest(digest)) return;
     this.relay = {
       host: digest.host,
@@ -234,7 +238,7 @@
     const isServing = this.isServing();
     if (isServing === this.wasServing) return;
     this.wasServing = isServing;
-    log(isServing ? 'takes_callers' : 'stands_by', { hosts: this.options.roster.countSharers() });
+    log(isServing ? 'takes_callers' : 'stands_by', { hosts: this.options.roster.countHosts() });
   }
 
   private isServing(): boolean {
@@ -260,6 +264,6 @@
   }
 
   private timings(): GossipTimings {
-    return gossipTimings(this.options.roster.countSharers());
+    return gossipTimings(this.options.roster.countHosts());
   }
 }
--- a/packages/router/src/agreement/ServerRoster.ts
+++ b/packages/router/src/coordination/ServerRoster.ts
@@ -52,7 +52,7 @@
   }
 
   /** Gets when the grace period ends; undefined where no server is in it. */
-  nextChange(now: Millis): Millis | undefined {
+  getGraceEnd(now: Millis): Millis | undefined {
     return this.missing.size > 0 && now < this.graceUntil ? this.graceUntil : undefined;
   }
 }
--- a/packages/router/src/agreement/StoreAgreement.ts
+++ b/packages/router/src/coordination/StoreCoordination.ts
@@ -9,23 +9,27 @@
 } from '@camphorvane/decisions';
 import type { PeerResponse } from '@camphorvane/peer';
 import type { HintLink } from '@camphorvane/peer/hints';
-import { LEAST_POLL_MS } from '@camphorvane/store';
+import { MIN_POLL_INTERVAL_MS } from '@camphorvane/store';
 import type { WatchableStore, DeploymentFormat, FollowMode } from '@camphorvane/store';
-import type { GroupGate, FleetMember, RepeatGate, Unsubscribe } from '../host/ports.ts';
+import type { GroupGate, FleetMember, RetryGate, Unsubscribe } from '../host/ports.ts';
 import type { Metrics } from '../observe/Metrics.ts';
 import { LocalPlacer } from '../placing/LocalPlacer.ts';
 import type { RoleControl } from '../placing/RoleControl.ts';
 import { CrashGuard } from '../serving/CrashGuard.ts';
 import { serviceRetryGate } from '../serving/retryGates.ts';
 import { DeploymentFeed } from './DeploymentFeed.ts';
-import { SharedRates } from './SharedRates.ts';
-import type { AgreementContext, AgreementFactory, HostAgreement } from './HostAgreement.ts';
+import { GossipRateGate } from './GossipRateGate.ts';
+import type {
+  CoordinationContext,
+  CoordinationFactory,
+  HostCoordination,
+} from './HostCoordination.ts';
 import { HintReceiver } from './HintReceiver.ts';
 import { HostRecords } from './HostRecords.ts';
 import { HostRoster } from './HostRoster.ts';
 import { PeerGossip } from './PeerGossip.ts';
-import { roleControlOf } from './roleControlOf.ts';
-import type { OwnReport } from './PeerGossip.ts';
+import { createRoleControl } from './createRoleControl.ts';
+import type { HintContent } from './PeerGossip.ts';
 
 /** Upstreams that one request must crash to be blocked; fewer crashes can coincide by chance. */
 const MIN_CRASHED_UPSTREAMS = 3;
@@ -33,15 +37,15 @@
 /** Milliseconds for which such a request is blocked; its caller retries it for some seconds. */
 const CRASH_BLOCK_MS: Millis = 60_000;
 
-/** Options of a {@link StoreAgreement}. */
-export interface StoreAgreementOptions {
+/** Options of a {@link StoreCoordination}. */
+export interface StoreCoordinationOptions {
   readonly store: WatchableStore;
   readonly format: DeploymentFormat;
   readonly hints: HintLink;
   /** See {@link HostRecord.strength}. */
   readonly strength: number;
   readonly tolerance: RateTolerance;
-  readonly repeats: RetryAllowance;
+  readonly retryAllowance: RetryAllowance;
   /** See {@link DeploymentFeedOptions.strictKeysMs}; where set, withdrawn keys also abort requests. */
   readonly strictKeysMs: Millis | undefined;
   /** See {@link DeploymentFeedOptions.watchMs}. */
@@ -59,28 +63,28 @@
  * A host that crashes, freezes or is partitioned makes no other host wait. Each host places requests on
  * engines by itself, charges rates by the charges of all hosts, and gossips its load and its charges.
  */
-export class StoreAgreement implements HostAgreement, GroupGate {
+export class StoreCoordination implements HostCoordination, GroupGate {
   readonly config: DeploymentFeed;
 
   readonly group: GroupGate = this;
 
-  readonly rates: SharedRates;
+  readonly rates: GossipRateGate;
 
-  readonly repeats: RepeatGate;
+  readonly retryGate: RetryGate;
 
   readonly placer: LocalPlacer;
 
-  readonly crashes: CrashGuard;
+  readonly crashGuard: CrashGuard;
 
   readonly slowStart: SlowStart;
 
   readonly claims = undefined;
 
-  readonly endsWithdrawn: boolean;
+  readonly abortsOnKeyWithdrawal: boolean;
 
-  private readonly options: StoreAgreementOptions;
+  private readonly options: StoreCoordinationOptions;
 
-  private readonly context: AgreementContext;
+  private readonly context: CoordinationContext;
 
   private readonly clock: Clock;
 
@@ -102,7 +106,7 @@
    * @param options - The store and the limits of the whole fleet.
    * @param context - This host.
    */
-  constructor(options: StoreAgreementOptions, context: AgreementContext) {
+  constructor(options: StoreCoordinationOptions, context: CoordinationContext) {
     this.options = options;
     this.context = context;
     const { clock, random, identity, incarnation, directory } = context;
@@ -114,7 +118,7 @@
       quotas.get(upstream, this.hosts.getExpectedServing(), perSecond),
     );
     this.knowledge = new EngineKnowledge(this.slowStart);
-    this.endsWithdrawn = options.strictKeysMs !== undefined;
+    this.abortsOnKeyWithdrawal = options.strictKeysMs !== undefined;
     this.config = new DeploymentFeed({
       store,
       format,
@@ -124,7 +128,7 @@
       watchMs: options.watchMs,
       mode: () => this.followMode(),
       pollMs: () => this.pollMs(),
-      onNews: () => this.gossip.noteNews(),
+      onStateChange: () => this.gossip.recordStateChange(),
       drainsZones: options.drainsZones,
       slowStart: this.slowStart,
     });
@@ -133,16 +137,16 @@
       kind: format.hostKind,
       roster: this.hosts,
       isLeaving: () => this.leaving,
-      onSharers: (peers) => this.applyPeers(peers),
+      onPeersChange: (peers) => this.applyPeers(peers),
     });
-    const hostCount = (): number => this.hosts.countSharers();
-    this.rates = new SharedRates(clock, options.tolerance);
-    this.repeats = serviceRetryGate(new ServiceRetryBudget(options.repeats, hostCount));
+    const hostCount = (): number => this.hosts.countHosts();
+    this.rates = new GossipRateGate(clock, options.tolerance);
+    this.retryGate = serviceRetryGate(new ServiceRetryBudget(options.retryAllowance, hostCount));
     this.placer = new LocalPlacer({
       ...{ clock, random, directory, knowledge: this.knowledge, incarnation },
-      onStateChange: () => this.gossip.noteNews(),
+      onStateChange: () => this.gossip.recordStateChange(),
     });
-    this.crashes = new CrashGuard({
+    this.crashGuard = new CrashGuard({
       self: identity.host,
       clock,
       group: this,
@@ -161,9 +165,9 @@
       roster: this.hosts,
       hint: () => this.buildReport(),
       onHint: (hint) => hintReceiver.receive(hint),
-      onDigest: (digest) => hintReceiver.receiveSum(digest),
+      onDigest: (digest) => hintReceiver.receiveDigest(digest),
     });
-    this.roles = roleControlOf({
+    this.roles = createRoleControl({
       ...{ options, context, knowledge: this.knowledge },
       rank: () => this.rank(),
       announce: () => this.gossip.sendNow(),
@@ -202,12 +206,12 @@
   }
 
   /** Rejects all requests, since hosts that share a store send each other none. */
-  async answer(): Promise<PeerResponse> {
+  async handlePeerRequest(): Promise<PeerResponse> {
     return { type: 'not_steward', epoch: 0 };
   }
 
   /** {@inheritDoc HostCoordination.getCoordinatedModels} */
-  getCoordinated(): readonly ModelId[] {
+  getCoordinatedModels(): readonly ModelId[] {
     return [];
   }
 
@@ -226,12 +230,12 @@
   }
 
   /** No host coordinates. */
-  stewardOf(): undefined {
+  coordinatorOf(): undefined {
     return undefined;
   }
 
   /** No host coordinates. */
-  maySteward(): boolean {
+  mayCoordinate(): boolean {
     return false;
   }
 
@@ -255,19 +259,19 @@
   dump(): object {
     return {
       hosts: this.hosts.getMembers(this.clock.now()).map((member) => member.host),
-      sharers: this.hosts.countSharers(),
+      sharers: this.hosts.countHosts(),
       rates: this.rates.dump(),
       placing: this.placer.dump(),
     };
   }
 
   private applyPeers(peers: readonly HostId[]): void {
-    this.rates.setSharers(peers);
+    this.rates.setPeers(peers);
     this.listeners.forEach((changed) => changed());
   }
 
   private timings(): GossipTimings {
-    return gossipTimings(this.hosts.countSharers());
+    return gossipTimings(this.hosts.countHosts());
   }
 
   /** Relays watch the store; the other hosts learn of changes by gossip and poll at long intervals. */
@@ -277,15 +281,15 @@
 
   /** A host that reads a change gossips it, so the interval grows with the fleet. */
   private pollMs(): Millis {
-    const hasDigest = this.hosts.isToldByRelay(this.clock.now());
-    return hasDigest ? this.timings().pollMs : LEAST_POLL_MS;
+    const hasDigest = this.hosts.hasFreshDigest(this.clock.now());
+    return hasDigest ? this.timings().pollMs : MIN_POLL_INTERVAL_MS;
   }
 
-  private buildReport(): OwnReport {
+  private buildReport(): HintContent {
     return {
       leaving: this.leaving,
       engines: [...this.knowledge.inFlight.getOwn()].map(([engine, use]) => ({ engine, ...use })),
-      charged: this.rates.getCharged(),
+      charged: this.rates.getChargedTotals(),
       demand: this.knowledge.demand
         .getOwnTotals()
         .map((one) => ({ ...one, onTimeWaiting: this.placer.countOnTime(one.model) })),
@@ -306,18 +310,18 @@
 }
 
 /**
- * Gets the factory of a {@link StoreAgreement}.
+ * Gets the factory of a {@link StoreCoordination}.
  *
  * @param options - The store and the limits of the whole fleet.
  * @param onCreated - Called with the new instance, whose readiness the listeners report.
  * @returns The factory.
  */
-export function storeAgreement(
-  options: StoreAgreementOptions,
-  onCreated: (agreement: StoreAgreement) => void,
-): AgreementFactory {
+export function storeCoordination(
+  options: StoreCoordinationOptions,
+  onCreated: (agreement: StoreCoordination) => void,
+): CoordinationFactory {
   return (context) => {
-    const agreement = new StoreAgreement(options, context);
+    const agreement = new StoreCoordination(options, context);
     onCreated(agreement);
     return agreement;
   };
--- a/packages/router/src/agreement/roleControlOf.ts
+++ b/packages/router/src/coordination/createRoleControl.ts
@@ -1,16 +1,16 @@
 import type { EngineKnowledge } from '@camphorvane/decisions';
 import { StoreLease } from '@camphorvane/store';
 import { RoleControl } from '../placing/RoleControl.ts';
-import type { AgreementContext } from './HostAgreement.ts';
-import type { StoreAgreementOptions } from './StoreAgreement.ts';
+import type { CoordinationContext } from './HostCoordination.ts';
+import type { StoreCoordinationOptions } from './StoreCoordination.ts';
 
 /** Name of the lease of the host that changes the roles of engines. */
 const ROLES_LEASE = 'roles';
 
 /** Dependencies of the role control of a host. */
-export interface RoleControlSources {
-  readonly options: Pick<StoreAgreementOptions, 'store' | 'format' | 'leaseMs' | 'metrics'>;
-  readonly context: AgreementContext;
+export interface RoleControlDependencies {
+  readonly options: Pick<StoreCoordinationOptions, 'store' | 'format' | 'leaseMs' | 'metrics'>;
+  readonly context: CoordinationContext;
   readonly knowledge: EngineKnowledge;
   /** See {@link RoleControlOptions.rank}. */
   readonly rank: () => number | undefined;
@@ -24,7 +24,7 @@
  * @param sources - The store and this host.
  * @returns The role control, which does nothing before it is run.
  */
-export function roleControlOf(sources: RoleControlSources): RoleControl {
+export function createRoleControl(sources: RoleControlDependencies): RoleControl {
   const { options, context, knowledge, rank, announce } = sources;
   const { store, format, leaseMs, metrics } = options;
   const { clock, identity, incarnation, directory } = context;
--- a/packages/router/src/host/ConfigRelay.ts
+++ b/packages/router/src/host/ConfigRelay.ts
@@ -91,7 +91,7 @@
     const answers = await this.askAllPeers({ type: 'config_version' });
     const versions = answers.flatMap((res) => (res.type === 'config_version' ? [res.version] : []));
     if (versions.length + 1 <= members / 2) return;
-    follower.noteMajorityConfirmed(Math.max(follower.knownVersion(), ...versions), requestedAt);
+    follower.recordMajorityVersion(Math.max(follower.knownVersion(), ...versions), requestedAt);
   }
 
   private async askAllPeers(req: PeerRequest): Promise<readonly PeerResponse[]> {
--- a/packages/router/src/host/GroupAdapter.ts
+++ b/packages/router/src/host/GroupAdapter.ts
@@ -41,13 +41,13 @@
   }
 
   /** Gets the peer address of the coordinator of a key, if known. */
-  stewardOf(key: string): PeerAddress | undefined {
+  coordinatorOf(key: string): PeerAddress | undefined {
     const host = this.runner.stewardOf(key);
     return host === undefined ? undefined : this.addressOf(host);
   }
 
   /** Checks whether this host may coordinate a key now. */
-  maySteward(key: string): boolean {
+  mayCoordinate(key: string): boolean {
     return this.runner.maySteward(key);
   }
 
--- a/packages/router/src/host/Host.ts
+++ b/packages/router/src/host/Host.ts
@@ -3,14 +3,14 @@
 import { notRun, sleep } from '@camphorvane/core';
 import type { HostStatus } from '@camphorvane/operator';
 import type { PeerHandler, PeerRequest, PeerResponse, PeerSender } from '@camphorvane/peer';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import { VERSION } from '../version.ts';
-import type { HostParts } from './assembleHost.ts';
+import type { HostComponents } from './assembleHost.ts';
 import { assembleHost } from './assembleHost.ts';
 import { slowStartBounds } from './slowStartBounds.ts';
 import type { HostOptions } from './HostOptions.ts';
 
-const log = stateLog('host');
+const log = eventLog('host');
 
 /** Lifecycle state of a host. */
 export type HostState = 'starting' | 'serving' | 'draining' | 'stopped';
@@ -27,7 +27,7 @@
 
   private readonly stopController = new AbortController();
 
-  private readonly components: HostParts;
+  private readonly components: HostComponents;
 
   private state: HostState = 'starting';
 
@@ -47,10 +47,10 @@
   /** Starts all background tasks and enters the state `serving`. */
   start(): void {
     const { signal } = this.stopController;
-    const { agreement } = this.components;
-    agreement.config.onChange((config) => this.applyConfig(config));
-    agreement.group.onChange(() => this.applyGroupChange());
-    agreement.start(signal);
+    const { coordination } = this.components;
+    coordination.config.onChange((config) => this.applyConfig(config));
+    coordination.group.onChange(() => this.applyGroupChange());
+    coordination.start(signal);
     void this.components.keeper.run(signal);
     void this.components.watch.run(signal);
     this.enterState('serving');
@@ -58,7 +58,7 @@
 
   /** Answers a request from a peer. */
   answer(from: PeerSender, req: PeerRequest): Promise<PeerResponse> {
-    return this.components.agreement.answer(from, req);
+    return this.components.coordination.handlePeerRequest(from, req);
   }
 
   /**
@@ -75,7 +75,7 @@
   /** Announces that this host is leaving; forwarded requests are still accepted. */
   async beginDrain(): Promise<void> {
     this.enterState('draining');
-    await this.components.agreement.beginLeaving();
+    await this.components.coordination.beginLeaving();
   }
 
   /**
@@ -86,11 +86,12 @@
    */
   async finishDrain(graceMs: Millis): Promise<void> {
     this.closed = true;
-    const { agreement, inFlight } = this.components;
+    const { coordination, inFlight } = this.components;
     const grace = sleep(this.options.clock, graceMs, this.stopController.signal);
-    await Promise.race([inFlight.whenIdle(), grace]);
-    if (agreement.claims !== undefined) await Promise.race([agreement.claims.drained(), grace]);
-    await agreement.leave();
+    await Promise.race([inFlight.waitUntilIdle(), grace]);
+    if (coordination.claims !== undefined)
+      await Promise.race([coordination.claims.whenDrained(), grace]);
+    await coordination.leave();
     this.stop();
   }
 
@@ -98,7 +99,7 @@
   stop(): void {
     this.enterState('stopped');
     this.stopController.abort();
-    this.components.agreement.stop();
+    this.components.coordination.stop();
   }
 
   /** Gets the lifecycle state. */
@@ -107,18 +108,18 @@
   }
 
   /** Gets the id of the host. */
-  getName(): HostId {
+  getId(): HostId {
     return this.options.identity.host;
   }
 
   /** Gets the models whose pools this host currently coordinates. */
-  getCoordinated(): readonly ModelId[] {
-    return this.components.agreement.getCoordinated();
+  getCoordinatedModels(): readonly ModelId[] {
+    return this.components.coordination.getCoordinatedModels();
   }
 
   /** Gets the version of the configuration in force; 0 before there is one. */
   configVersion(): number {
-    return this.components.agreement.config.state().version;
+    return this.components.coordination.config.state().version;
   }
 
   /** Gets a summary of the state. */
@@ -130,8 +131,8 @@
       program: VERSION,
       state: this.state,
       configVersion: this.configVersion(),
-      configConfirmed: this.components.agreement.config.isConfirmed(),
-      epoch: this.components.agreement.getEpoch(),
+      configConfirmed: this.components.coordination.config.isConfirmed(),
+      epoch: this.components.coordination.getEpoch(),
       inFlight: this.components.inFlight.size(),
     };
   }
@@ -142,36 +143,36 @@
       identity: this.options.identity,
       incarnation: this.options.incarnation,
       state: this.state,
-      config: this.components.agreement.config.state(),
+      config: this.components.coordination.config.state(),
       inFlight: this.components.inFlight.size(),
       reservations: this.components.keeper.size(),
-      ...this.components.agreement.dump(),
-      crashes: this.components.agreement.crashes.dump(),
-      serviceQueues: this.components.gates.dump(),
+      ...this.components.coordination.dump(),
+      crashes: this.components.coordination.crashGuard.dump(),
+      serviceQueues: this.components.serviceQueues.dump(),
       counters: this.options.metrics.getCounts(),
     };
   }
 
   private applyConfig({ version, config }: VersionedConfig): void {
-    this.components.directory.reshape(config);
+    this.components.directory.reconfigure(config);
     this.components.keys.update(config);
-    this.components.agreement.rates.setTeams(config.teams);
-    this.components.agreement.slowStart.setBounds(slowStartBounds(config));
-    this.components.agreement.placer.refresh();
-    this.components.gates.refresh();
-    const ended = this.components.agreement.endsWithdrawn ? this.abortWithdrawn() : 0;
+    this.components.coordination.rates.setTeams(config.teams);
+    this.components.coordination.slowStart.setBounds(slowStartBounds(config));
+    this.components.coordination.placer.refresh();
+    this.components.serviceQueues.refresh();
+    const ended = this.components.coordination.abortsOnKeyWithdrawal ? this.abortWithdrawn() : 0;
     this.options.metrics.count('config.changed');
     log('config_in_force', { version, ended });
   }
 
   private applyGroupChange(): void {
-    this.components.agreement.placer.refresh();
-    this.components.gates.refresh();
+    this.components.coordination.placer.refresh();
+    this.components.serviceQueues.refresh();
   }
 
   private abortWithdrawn(): number {
-    return this.components.inFlight.endWithdrawn(
-      (digest, team) => this.components.keys.isInForce(digest, team),
+    return this.components.inFlight.abortWithdrawn(
+      (digest, team) => this.components.keys.isActive(digest, team),
       notRun('key_withdrawn', 'The API key was withdrawn during the request.'),
     );
   }
--- a/packages/router/src/host/HostBackend.ts
+++ b/packages/router/src/host/HostBackend.ts
@@ -2,8 +2,8 @@
   CallerBackend,
   CompletionEvent,
   CompletionRequest,
-  HostAdvice,
-  ServiceReply,
+  HostRecommendation,
+  ServiceResponse,
   ServiceRequest,
 } from '@camphorvane/caller';
 import type {
@@ -28,7 +28,7 @@
 import { findServiceRoute } from '../serving/findServiceRoute.ts';
 import { MAX_NATIVE_CALL_WAIT_MS } from '../serving/ServiceQueues.ts';
 import type { AuthenticatedCaller, Authenticator } from './Authenticator.ts';
-import type { InFlight } from './InFlight.ts';
+import type { InFlightRequests } from './InFlightRequests.ts';
 import type { ConfigSource, GroupGate } from './ports.ts';
 import type { UpstreamDirectory } from './UpstreamDirectory.ts';
 
@@ -60,7 +60,7 @@
   readonly config: ConfigSource;
   readonly group: GroupGate;
   readonly directory: UpstreamDirectory;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightRequests;
   readonly completions: CompletionHandler;
   readonly services: ServiceCallHandler;
   readonly metrics: Metrics;
@@ -85,7 +85,7 @@
   }
 
   /** Gets the hosts that a caller may use, in random order to spread callers over them. */
-  advise(key: string | undefined): Result<HostAdvice, Refusal> {
+  recommendHosts(key: string | undefined): Result<HostRecommendation, Refusal> {
     return this.options.authenticator.authenticate(key).map(() => {
       const hosts = this.options.group
         .members()
@@ -97,7 +97,7 @@
           zone: member.zone,
           address: member.callerAddress,
         }));
-      return { hosts, keepForMs: HOST_LIST_TTL_MS };
+      return { hosts, maxAgeMs: HOST_LIST_TTL_MS };
     });
   }
 
@@ -126,7 +126,7 @@
       yield { type: 'refused', refusal };
       return;
     }
-    const { abort, leave } = this.options.inFlight.join(id, caller.value, signal);
+    const { abort, leave } = this.options.inFlight.addForCaller(id, caller.value, signal);
     try {
       const events = this.options.completions.serve({
         id,
@@ -154,7 +154,7 @@
     id: RequestId,
     req: ServiceRequest,
     signal: AbortSignal,
-  ): Promise<Result<ServiceReply, Refusal>> {
+  ): Promise<Result<ServiceResponse, Refusal>> {
     const reply = await this.authenticateAndCall(id, req, signal);
     if (reply.isErr()) this.countRefusal(reply.error);
     else this.options.metrics.count('request.whole', { kind: 'service' });
@@ -165,18 +165,19 @@
     id: RequestId,
     req: ServiceRequest,
     signal: AbortSignal,
-  ): Promise<Result<ServiceReply, Refusal>> {
+  ): Promise<Result<ServiceResponse, Refusal>> {
     const caller = await this.authenticate(req.key);
     if (caller.isErr()) return err(caller.error);
     const service = this.options.directory.getService(req.service);
-    const route = service === undefined ? undefined : findServiceRoute(service, req.method, req.path);
+    const route =
+      service === undefined ? undefined : findServiceRoute(service, req.method, req.path);
     if (service === undefined || route === undefined) {
       return err(notRun('unknown_service', 'No service has a route for this method and path.'));
     }
-    const { abort, leave } = this.options.inFlight.join(id, caller.value, signal);
+    const { abort, leave } = this.options.inFlight.addForCaller(id, caller.value, signal);
     try {
-      const terms = this.callPolicy(service);
-      const work = { id, req, terms, caller: caller.value, service, route, signal: abort.signal };
+      const policy = this.callPolicy(service);
+      const work = { id, req, policy, caller: caller.value, service, route, signal: abort.signal };
       return await this.options.services.serve(work);
     } finally {
       leave();
--- a/packages/router/src/host/HostOptions.ts
+++ b/packages/router/src/host/HostOptions.ts
@@ -1,5 +1,5 @@
 import type { Clock, Millis, RandomSource } from '@camphorvane/core';
-import type { AgreementFactory } from '../agreement/HostAgreement.ts';
+import type { CoordinationFactory } from '../coordination/HostCoordination.ts';
 import type { Metrics } from '../observe/Metrics.ts';
 import type { EngineFactory, HostIdentity, PlainServerFactory } from './ports.ts';
 
@@ -15,7 +15,7 @@
   readonly drainGraceMs: Millis;
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly agreement: AgreementFactory;
+  readonly coordination: CoordinationFactory;
   readonly engines: EngineFactory;
   readonly servers: PlainServerFactory;
   readonly metrics: Metrics;
--- a/packages/router/src/host/InFlight.ts
+++ b/packages/router/src/host/InFlightRequests.ts
@@ -12,7 +12,7 @@
 }
 
 /** Tracks the requests in flight on a host. */
-export class InFlight {
+export class InFlightRequests {
   private readonly requests = new Map<RequestId, InFlightRequest>();
 
   private readonly idleWaiters: (() => void)[] = [];
@@ -28,7 +28,7 @@
    * @param request - The request.
    * @returns A function that removes it.
    */
-  enter(request: InFlightRequest): () => void {
+  add(request: InFlightRequest): () => void {
     this.requests.set(request.id, request);
     return () => {
       this.requests.delete(request.id);
@@ -44,7 +44,7 @@
    * @param signal - Aborted when the caller disconnects.
    * @returns The controller that aborts the request, and a function that removes it.
    */
-  join(
+  addForCaller(
     id: RequestId,
     caller: AuthenticatedCaller,
     signal: AbortSignal,
@@ -53,7 +53,7 @@
     const onCallerAbort = (): void => abort.abort();
     signal.addEventListener('abort', onCallerAbort, { once: true });
     if (signal.aborted) onCallerAbort();
-    const remove = this.enter({ id, team: caller.team.id, keyDigest: caller.keyDigest, abort });
+    const remove = this.add({ id, team: caller.team.id, keyDigest: caller.keyDigest, abort });
     const leave = (): void => {
       signal.removeEventListener('abort', onCallerAbort);
       remove();
@@ -68,7 +68,10 @@
    * @param refusal - The reason of the abort, which callers receive.
    * @returns The number of aborted requests.
    */
-  endWithdrawn(isInForce: (keyDigest: string, team: TeamId) => boolean, refusal: Refusal): number {
+  abortWithdrawn(
+    isInForce: (keyDigest: string, team: TeamId) => boolean,
+    refusal: Refusal,
+  ): number {
     const withdrawn = [...this.requests.values()].filter(
       (r) => r.keyDigest !== undefined && !isInForce(r.keyDigest, r.team),
     );
@@ -77,7 +80,7 @@
   }
 
   /** Waits until no request is in flight. */
-  whenIdle(): Promise<void> {
+  waitUntilIdle(): Promise<void> {
     if (this.requests.size === 0) return Promise.resolve();
     return new Promise((resolve) => {
       this.idleWaiters.push(resolve);
--- a/packages/router/src/host/PlatformHost.ts
+++ b/packages/router/src/host/PlatformHost.ts
@@ -13,8 +13,8 @@
 } from '@camphorvane/platform';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { StoreAgreement } from '../agreement/StoreAgreement.ts';
-import { storeAgreement } from '../agreement/StoreAgreement.ts';
+import type { StoreCoordination } from '../coordination/StoreCoordination.ts';
+import { storeCoordination } from '../coordination/StoreCoordination.ts';
 import { Metrics } from '../observe/Metrics.ts';
 import { callerAddresses } from './callerAddresses.ts';
 import { Host } from './Host.ts';
@@ -35,7 +35,7 @@
 export interface PlatformHost {
   readonly host: Host;
   /** Drains and stops the host; requests that can finish within the grace period do. */
-  leave(): Promise<void>;
+  drain(): Promise<void>;
 }
 
 /**
@@ -51,7 +51,7 @@
   const clock = new SystemClock();
   const hints = new HintSocket();
   const metrics = new Metrics();
-  let coordination: StoreAgreement | undefined;
+  let coordination: StoreCoordination | undefined;
   const host = new Host({
     identity: {
       host: settings.host,
@@ -63,14 +63,14 @@
     drainGraceMs: settings.graceMs,
     clock,
     random: new RandomSource(randomBytes(4).readInt32BE()),
-    agreement: storeAgreement(
+    coordination: storeCoordination(
       {
         store: new ObjectApiStore(settings.storeAddress, clock),
         format: PLATFORM_FORMAT,
         hints,
-        strength: settings.processorCores,
+        strength: settings.cpuCores,
         tolerance: settings.quota,
-        repeats: settings.retries,
+        retryAllowance: settings.retries,
         strictKeysMs: settings.strictKeysMs,
         watchMs: settings.watchMs,
         leaseMs: settings.leaseMs,
@@ -90,16 +90,16 @@
   let leaving = false;
   const ingress = new Ingress({
     backend: host.forwarding,
-    isLeaving: () => leaving,
+    isDraining: () => leaving,
     limits: () => config.current()?.config.limits,
   });
   const directory = new DirectoryServer(
     {
-      addressesFor: (zone) => callerAddresses(group.members(), zone),
+      getAddresses: (zone) => callerAddresses(group.members(), zone),
       isReady: () => !leaving && isReady(),
-      metrics: () => metrics.getText(),
+      metrics: () => metrics.getPrometheusText(),
     },
-    settings.maxListLifeMs,
+    settings.maxDirectoryTtlMs,
   );
   const bound = await hints.listen(settings.ip, settings.peerPort);
   if (bound.isErr()) return err(`hints: ${bound.error}`);
@@ -113,7 +113,7 @@
   host.start();
   return ok({
     host,
-    leave: async () => {
+    drain: async () => {
       leaving = true;
       void host.beginDrain();
       await sleep(clock, LEAVING_PERIOD_MS);
@@ -123,7 +123,10 @@
   });
 }
 
-function selectParts(coordination: StoreAgreement): Pick<StoreAgreement, 'config' | 'group'> & {
+function selectParts(coordination: StoreCoordination): Pick<
+  StoreCoordination,
+  'config' | 'group'
+> & {
   readonly isReady: () => boolean;
 } {
   const { config, group } = coordination;
--- a/packages/router/src/host/RunningHost.ts
+++ b/packages/router/src/host/RunningHost.ts
@@ -14,7 +14,7 @@
 import { err, ok } from 'neverthrow';
 import { OperatorServer } from '@camphorvane/operator';
 import type { Result } from 'neverthrow';
-import { groupAgreement } from '../agreement/GroupAgreement.ts';
+import { groupCoordination } from '../coordination/GroupCoordination.ts';
 import { Metrics } from '../observe/Metrics.ts';
 import type { HostSettings } from '../settings/HostSettings.ts';
 import { Host } from './Host.ts';
@@ -30,7 +30,7 @@
   readonly host: Host;
   readonly zone: ZoneId;
   /** Resolves when an operator requests a drain. */
-  readonly drainAsked: Promise<void>;
+  readonly drainRequested: Promise<void>;
   /** Drains the host, then closes all listeners and links. */
   drain(): Promise<void>;
   /** Stops the host and closes all listeners and links immediately. */
@@ -59,7 +59,7 @@
       peerAddress: addressOf(settings.peers),
     },
     incarnation,
-    agreement: groupAgreement({
+    coordination: groupCoordination({
       group: `${settings.host.region}-1`,
       groupSize: settings.group.size,
       fleetHosts: settings.platform.fleetHosts,
@@ -79,7 +79,7 @@
   const callers = new CallerServer({
     backend: host.backend,
     clock,
-    isFleet: createHopCheck(settings.peers.credential),
+    isFleetCredential: createHopCheck(settings.peers.credential),
   });
   const listening = await listen(callers, settings);
   if (listening.isErr()) {
@@ -109,7 +109,7 @@
   return ok({
     host,
     zone: settings.host.zone,
-    drainAsked: drainRequest.promise,
+    drainRequested: drainRequest.promise,
     drain: async () => {
       await host.drain();
       await close();
@@ -135,7 +135,7 @@
   const { metrics, host } = settings;
   return metrics === undefined
     ? new Metrics()
-    : Metrics.sendingTo(metrics.ip, metrics.port, host.id);
+    : Metrics.withStatsD(metrics.ip, metrics.port, host.id);
 }
 
 async function listen(
--- a/packages/router/src/host/UpstreamDirectory.ts
+++ b/packages/router/src/host/UpstreamDirectory.ts
@@ -13,13 +13,13 @@
 import type { EngineFactory, PlainServerFactory } from './ports.ts';
 
 /** A configured engine and its client. */
-export interface DirectoryEngine {
+export interface EngineEntry {
   readonly cfg: EngineConfig;
   readonly engine: ModelEngine;
 }
 
 /** A configured server of a plain service and its client. */
-export interface DirectoryServer {
+export interface ServerEntry {
   readonly cfg: ServiceServer;
   readonly server: PlainServer;
 }
@@ -30,9 +30,9 @@
 
   private readonly createServer: PlainServerFactory;
 
-  private engines: ReadonlyMap<UpstreamId, DirectoryEngine> = new Map();
+  private engines: ReadonlyMap<UpstreamId, EngineEntry> = new Map();
 
-  private servers: ReadonlyMap<UpstreamId, DirectoryServer> = new Map();
+  private servers: ReadonlyMap<UpstreamId, ServerEntry> = new Map();
 
   private pools: ReadonlyMap<ModelId, PoolConfig> = new Map();
 
@@ -53,7 +53,7 @@
    *
    * @param config - The configuration.
    */
-  reshape(config: RoutingConfig): void {
+  reconfigure(config: RoutingConfig): void {
     const { drainedZones = [] } = config;
     const isActive = ({ zone }: { readonly zone: ZoneId }): boolean => !drainedZones.includes(zone);
     const pools = config.pools.map((pool) => ({ ...pool, engines: pool.engines.filter(isActive) }));
@@ -85,7 +85,7 @@
   }
 
   /** Gets an engine, if it is configured. */
-  getEngine(id: UpstreamId): DirectoryEngine | undefined {
+  getEngine(id: UpstreamId): EngineEntry | undefined {
     return this.engines.get(id);
   }
 
@@ -95,17 +95,17 @@
   }
 
   /** Gets a server of a plain service, if it is configured. */
-  getServer(id: UpstreamId): DirectoryServer | undefined {
+  getServer(id: UpstreamId): ServerEntry | undefined {
     return this.servers.get(id);
   }
 
-  private reuseOrCreateEngine(cfg: EngineConfig): DirectoryEngine {
+  private reuseOrCreateEngine(cfg: EngineConfig): EngineEntry {
     const previous = this.engines.get(cfg.id);
     const isUnchanged = previous !== undefined && previous.cfg.url === cfg.url;
     return { cfg, engine: isUnchanged ? previous.engine : this.createEngine(cfg) };
   }
 
-  private reuseOrCreateServer(cfg: ServiceServer): DirectoryServer {
+  private reuseOrCreateServer(cfg: ServiceServer): ServerEntry {
     const previous = this.servers.get(cfg.id);
     const isUnchanged = previous !== undefined && previous.cfg.url === cfg.url;
     return { cfg, server: isUnchanged ? previous.server : this.createServer(cfg) };
--- a/packages/router/src/host/assembleHost.ts
+++ b/packages/router/src/host/assembleHost.ts
@@ -1,6 +1,6 @@
 import type { CallerBackend, ForwardBackend } from '@camphorvane/caller';
 import { KeyRing } from '@camphorvane/store';
-import type { HostAgreement } from '../agreement/HostAgreement.ts';
+import type { HostCoordination } from '../coordination/HostCoordination.ts';
 import { EngineObserver } from '../placing/EngineObserver.ts';
 import { ReservationRenewer } from '../placing/ReservationRenewer.ts';
 import { ConcurrencyShares } from '../serving/ConcurrencyShares.ts';
@@ -11,11 +11,11 @@
 import { Authenticator } from './Authenticator.ts';
 import { HostBackend } from './HostBackend.ts';
 import type { HostOptions } from './HostOptions.ts';
-import { InFlight } from './InFlight.ts';
+import { InFlightRequests } from './InFlightRequests.ts';
 import { UpstreamDirectory } from './UpstreamDirectory.ts';
 
 /** Checks whether the host accepts new requests. */
-export interface HostGates {
+export interface HostAdmission {
   /** True once a drain has begun; requests on the router's native interface are refused immediately. */
   readonly isDraining: () => boolean;
   /** True once forwarded requests are refused as well. */
@@ -23,14 +23,14 @@
 }
 
 /** Components of a host. */
-export interface HostParts {
-  readonly agreement: HostAgreement;
+export interface HostComponents {
+  readonly coordination: HostCoordination;
   readonly keys: KeyRing;
   readonly directory: UpstreamDirectory;
   readonly keeper: ReservationRenewer;
   readonly watch: EngineObserver;
-  readonly gates: ServiceQueues;
-  readonly inFlight: InFlight;
+  readonly serviceQueues: ServiceQueues;
+  readonly inFlight: InFlightRequests;
   readonly backend: CallerBackend;
   readonly forwarding: ForwardBackend;
 }
@@ -42,19 +42,26 @@
  * @param admission - Checks whether the host accepts new requests.
  * @returns The components.
  */
-export function assembleHost(options: HostOptions, admission: HostGates): HostParts {
+export function assembleHost(options: HostOptions, admission: HostAdmission): HostComponents {
   const { clock, random, identity, incarnation, metrics } = options;
   const directory = new UpstreamDirectory(options.engines, options.servers);
   const calls = new ConcurrencyShares();
-  const coordination = options.agreement({ clock, random, identity, incarnation, directory, calls });
-  const { config, group, rates, repeats: retryGate, crashes: crashGuard, claims, placer, slowStart } = coordination;
+  const coordination = options.coordination({
+    clock,
+    random,
+    identity,
+    incarnation,
+    directory,
+    calls,
+  });
+  const { config, group, rates, retryGate, crashGuard, claims, placer, slowStart } = coordination;
   const keys = new KeyRing();
   const authenticator = new Authenticator(config, keys);
   const keeper = new ReservationRenewer(clock, placer);
   const watch = new EngineObserver(clock, placer);
   const hostCount = (): number => group.members().length;
   const serviceQueues = new ServiceQueues(clock, random, directory, hostCount, calls, slowStart);
-  const inFlight = new InFlight();
+  const inFlight = new InFlightRequests();
   const completions = new CompletionHandler({
     self: identity.host,
     clock,
@@ -64,8 +71,8 @@
     watch,
     metrics,
     rates,
-    retryGate: retryGate,
-    crashGuard: crashGuard,
+    retryGate,
+    crashGuard,
   });
   const services = new ServiceCallHandler({
     clock,
@@ -74,20 +81,20 @@
     slowStart,
     rates,
     claims,
-    retryGate: retryGate,
-    crashGuard: crashGuard,
+    retryGate,
+    crashGuard,
     self: { host: identity.host, incarnation },
     metrics,
   });
   const commonOptions = { clock, random, authenticator, config, directory, inFlight, metrics };
   const handlers = { completions, services };
   return {
-    agreement: coordination,
+    coordination,
     keys,
     directory,
     keeper,
     watch,
-    gates: serviceQueues,
+    serviceQueues,
     inFlight,
     backend: new HostBackend({ ...commonOptions, ...handlers, ...admission, group, incarnation }),
     forwarding: new ForwardHandler({ ...commonOptions, ...handlers, ...admission }),
--- a/packages/router/src/host/ports.ts
+++ b/packages/router/src/host/ports.ts
@@ -54,10 +54,10 @@
   members(): readonly FleetMember[];
 
   /** Gets the peer address of the current coordinator of a key, if known. */
-  stewardOf(key: string): PeerAddress | undefined;
+  coordinatorOf(key: string): PeerAddress | undefined;
 
   /** Checks whether this host may coordinate a key now; called before each decision. */
-  maySteward(key: string): boolean;
+  mayCoordinate(key: string): boolean;
 
   /** Checks whether this host may use the capacity and rates granted to it. */
   mayAct(): boolean;
@@ -89,7 +89,7 @@
 }
 
 /** Identifies a retry: the team, the pool or service, and the upstream that failed. */
-export interface RepeatTarget {
+export interface RetryTarget {
   readonly team: TeamId;
   /** Pool or service that serves the request. */
   readonly service: string;
@@ -98,10 +98,10 @@
 }
 
 /** Enforces the retry budget. */
-export interface RepeatGate {
+export interface RetryGate {
   /** Records the first attempt of a request, with the upstreams that it uses. */
-  attempted(
-    request: Omit<RepeatTarget, 'upstream'>,
+  recordAttempt(
+    request: Omit<RetryTarget, 'upstream'>,
     upstreams: readonly UpstreamId[],
     now: Millis,
   ): void;
@@ -111,7 +111,7 @@
    *
    * @returns False if the budget is exhausted.
    */
-  tryRepeat(target: RepeatTarget, now: Millis): boolean;
+  tryRetry(target: RetryTarget, now: Millis): boolean;
 }
 
 /** Creates the client of an engine. */
--- a/packages/router/src/observe/StateLog.ts
+++ b/packages/router/src/observe/EventLog.ts
@@ -1,4 +1,4 @@
-import type { BoundedLog } from './BoundedLog.ts';
+import type { RateLimitedLog } from './RateLimitedLog.ts';
 import type { LogFields } from './LogFields.ts';
 
 /**
@@ -7,16 +7,16 @@
  * @param event - Name of the event, in snake case.
  * @param fields - Fields of the event.
  */
-export type StateLog = (event: string, fields: LogFields) => void;
+export type EventLog = (event: string, fields: LogFields) => void;
 
-let output: BoundedLog | undefined;
+let output: RateLimitedLog | undefined;
 
 /**
  * Sets the output of all logs of this process. Nothing is written before the first call.
  *
  * @param log - The output; undefined disables logging.
  */
-export function setLogOutput(log: BoundedLog | undefined): void {
+export function setLogOutput(log: RateLimitedLog | undefined): void {
   output = log;
 }
 
@@ -26,6 +26,6 @@
  * @param part - Name of the component.
  * @returns The log.
  */
-export function stateLog(part: string): StateLog {
+export function eventLog(part: string): EventLog {
   return (event, fields) => output?.write(part, event, fields);
 }
--- a/packages/router/src/observe/Metrics.ts
+++ b/packages/router/src/observe/Metrics.ts
@@ -65,7 +65,7 @@
    * @param host - Id of this host, sent as a tag of every metric.
    * @returns The metrics.
    */
-  static sendingTo(ip: string, port: number, host: string): Metrics {
+  static withStatsD(ip: string, port: number, host: string): Metrics {
     return new Metrics(
       new StatsD({
         host: ip,
@@ -122,7 +122,7 @@
   }
 
   /** Gets all metrics in the Prometheus text format. */
-  getText(): Promise<string> {
+  getPrometheusText(): Promise<string> {
     return this.registry.metrics();
   }
 
--- a/packages/router/src/observe/BoundedLog.ts
+++ b/packages/router/src/observe/RateLimitedLog.ts
@@ -22,7 +22,7 @@
 }
 
 /** Limits the rate of each kind of log line, and reports how many lines were dropped. */
-export class BoundedLog {
+export class RateLimitedLog {
   private readonly clock: Clock;
 
   private readonly sink: LineSink;
--- a/packages/router/src/observe/lossTable.ts
+++ b/packages/router/src/observe/lossTable.ts
@@ -1,9 +1,9 @@
-import type { RequestStory } from './requestStories.ts';
+import type { RequestSummary } from './summarizeRequests.ts';
 
 /** Options of a {@link lossTable}. */
 export interface LossOptions {
   /** Value of a late answer, as a fraction of one on time. */
-  readonly lateWorth: number;
+  readonly lateValue: number;
   /** Length of a time window, in milliseconds. */
   readonly windowMs: number;
 }
@@ -21,11 +21,14 @@
  * @param opts - Value of a late answer and length of time windows.
  * @returns Lines of text.
  */
-export function lossTable(requests: readonly RequestStory[], opts: LossOptions): readonly string[] {
+export function lossTable(
+  requests: readonly RequestSummary[],
+  opts: LossOptions,
+): readonly string[] {
   const lost = requests.filter(({ end }) => end !== 'on_time');
   const lossSum = totalLoss(lost, opts);
   const startAt = requests[0]?.at ?? 0;
-  const windowOf = ({ at }: RequestStory): string =>
+  const windowOf = ({ at }: RequestSummary): string =>
     String(Math.floor((at - startAt) / opts.windowMs) * opts.windowMs);
   const windows = groupBy(requests, windowOf)
     .sort(([, a], [, b]) => totalLoss(b, opts) - totalLoss(a, opts))
@@ -58,7 +61,7 @@
 
 function outcomeRows(
   name: string,
-  groups: readonly (readonly [string, readonly RequestStory[]])[],
+  groups: readonly (readonly [string, readonly RequestSummary[]])[],
   opts: LossOptions,
 ): Rows {
   const rows = groups.map(([key, group]) => {
@@ -68,21 +71,21 @@
   return [[name, 'asked', 'on time', 'late', 'refused', 'unfinished', 'lost'], ...rows];
 }
 
-function outcomeCounts(group: readonly RequestStory[]): readonly string[] {
+function outcomeCounts(group: readonly RequestSummary[]): readonly string[] {
   return (['late', 'refused', 'unfinished'] as const).map((outcome) =>
     String(group.filter(({ end }) => end === outcome).length),
   );
 }
 
-function formatLoss(group: readonly RequestStory[], opts: LossOptions): string {
+function formatLoss(group: readonly RequestSummary[], opts: LossOptions): string {
   return totalLoss(group, opts).toFixed(1);
 }
 
-function totalLoss(group: readonly RequestStory[], { lateWorth }: LossOptions): number {
-  return group.reduce((sum, { end }) => sum + lossOfOutcome(end, lateWorth), 0);
+function totalLoss(group: readonly RequestSummary[], { lateValue }: LossOptions): number {
+  return group.reduce((sum, { end }) => sum + lossOfOutcome(end, lateValue), 0);
 }
 
-function lossOfOutcome(end: RequestStory['end'], lateWorth: number): number {
+function lossOfOutcome(end: RequestSummary['end'], lateWorth: number): number {
   switch (end) {
     case 'on_time':
       return 0;
@@ -97,10 +100,10 @@
 }
 
 function groupBy(
-  requests: readonly RequestStory[],
-  keyOf: (request: RequestStory) => string,
-): (readonly [string, readonly RequestStory[]])[] {
-  const groups = new Map<string, RequestStory[]>();
+  requests: readonly RequestSummary[],
+  keyOf: (request: RequestSummary) => string,
+): (readonly [string, readonly RequestSummary[]])[] {
+  const groups = new Map<string, RequestSummary[]>();
   requests.forEach((request) => {
     const key = keyOf(request);
     const group = groups.get(key);
--- a/packages/router/src/observe/stdoutSink.ts
+++ b/packages/router/src/observe/stdoutSink.ts
@@ -1,6 +1,6 @@
 import { pino } from 'pino';
 import SonicBoom from 'sonic-boom';
-import type { LineSink } from './BoundedLog.ts';
+import type { LineSink } from './RateLimitedLog.ts';
 
 /** File descriptor of standard output. */
 const STDOUT_FD = 1;
--- a/packages/router/src/observe/requestStories.ts
+++ b/packages/router/src/observe/summarizeRequests.ts
@@ -1,17 +1,17 @@
 import type { LogLine } from './logLines.ts';
 
 /** How a request ended for its caller. */
-export type RequestEnd = 'on_time' | 'late' | 'refused' | 'unfinished';
+export type RequestOutcome = 'on_time' | 'late' | 'refused' | 'unfinished';
 
 /** Summary of a request from its log lines. */
-export interface RequestStory {
+export interface RequestSummary {
   readonly id: string;
   readonly host: string;
   readonly route: string;
   readonly team: string;
   /** Wall-clock time of its arrival, in Unix milliseconds. */
   readonly at: number;
-  readonly end: RequestEnd;
+  readonly end: RequestOutcome;
   /** What took most of the time, or why the request was refused; undefined if it was on time. */
   readonly cause: string | undefined;
 }
@@ -27,7 +27,7 @@
  * @param lines - Log lines of all hosts, in any order.
  * @returns The requests in order of arrival; those in flight when the logs end are unfinished.
  */
-export function requestStories(lines: readonly LogLine[]): readonly RequestStory[] {
+export function summarizeRequests(lines: readonly LogLine[]): readonly RequestSummary[] {
   const byId = new Map<string, LogLine[]>();
   lines.forEach((line) => {
     const { id } = line.fields;
@@ -41,7 +41,7 @@
     .sort((a, b) => a.at - b.at);
 }
 
-function summarize(id: string, lines: readonly LogLine[]): readonly RequestStory[] {
+function summarize(id: string, lines: readonly LogLine[]): readonly RequestSummary[] {
   const accepted = lines.find((line) => line.event === 'accepted');
   if (accepted === undefined) return [];
   const { end, cause } = outcomeOf(accepted, lines);
@@ -53,7 +53,7 @@
 function outcomeOf(
   accepted: LogLine,
   lines: readonly LogLine[],
-): Pick<RequestStory, 'end' | 'cause'> {
+): Pick<RequestSummary, 'end' | 'cause'> {
   const refused = lines.find((line) => line.event === 'refused');
   if (refused !== undefined) return { end: 'refused', cause: refusalCause(refused, lines) };
   const whole = lines.find((line) => line.event === 'whole');
--- a/packages/router/src/placing/CoordinatorRegistry.ts
+++ b/packages/router/src/placing/CoordinatorRegistry.ts
@@ -149,6 +149,6 @@
   }
 
   private mayCoordinate(model: ModelId): boolean {
-    return this.options.group.maySteward(poolKey(model));
+    return this.options.group.mayCoordinate(poolKey(model));
   }
 }
--- a/packages/router/src/placing/EngineProbes.ts
+++ b/packages/router/src/placing/EngineProbes.ts
@@ -1,7 +1,7 @@
 import type { CancelTimer, Clock, Millis, UpstreamId } from '@camphorvane/core';
 import type { EngineHealth, SlowStart } from '@camphorvane/decisions';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 
 /** Milliseconds between a failed probe and the first retry; doubles with each further failure. */
 const INITIAL_RETRY_MS: Millis = 300;
@@ -18,7 +18,7 @@
 /** Fraction of the engines found down above which this host assumes that it is partitioned itself. */
 const MAX_DOWN_FRACTION = 0.5;
 
-const log = stateLog('engines');
+const log = eventLog('engines');
 
 /** Dependencies of {@link EngineProbes}. */
 export interface EngineProbesOptions {
--- a/packages/router/src/placing/LocalPlacer.ts
+++ b/packages/router/src/placing/LocalPlacer.ts
@@ -25,17 +25,17 @@
   WorkItem,
 } from '@camphorvane/decisions';
 import type { UpstreamError } from '@camphorvane/upstream';
-import { reachedNobody } from '@camphorvane/upstream';
+import { reachedNoUpstream } from '@camphorvane/upstream';
 import { err, ok } from 'neverthrow';
-import type { ChangingPlacer } from '../agreement/HostAgreement.ts';
+import type { ReconfigurablePlacer } from '../coordination/HostCoordination.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import { EngineProbes } from './EngineProbes.ts';
 import { LocalReservations } from './LocalReservations.ts';
 import type { LocalPlacerOptions, LocalPool, ReserveResult } from './localPool.ts';
 import type { EnginePlacement } from './Placer.ts';
 
-const log = stateLog('placing');
+const log = eventLog('placing');
 
 type PlaceDecision = Extract<QueueDecision, { readonly type: 'place' }>;
 
@@ -43,7 +43,7 @@
 const DEFAULT_PRIORITY = 5;
 
 /** Places requests without a coordinator, by this host's observations and the load that peers report. */
-export class LocalPlacer implements ChangingPlacer {
+export class LocalPlacer implements ReconfigurablePlacer {
   private readonly clock: Clock;
 
   private readonly directory: UpstreamDirectory;
@@ -168,7 +168,7 @@
       case 'unreachable':
       case 'silent':
       case 'broken':
-        if (reachedNobody(error)) this.knowledge.slowStart.recordUnreachable(engine);
+        if (reachedNoUpstream(error)) this.knowledge.slowStart.recordUnreachable(engine);
         this.knowledge.health.recordFailure(engine, this.clock.now());
         this.probes.suspect(engine);
         break;
@@ -193,7 +193,7 @@
     return this.pools.get(model)?.queue.countOnTime(this.clock.now()) ?? 0;
   }
 
-  /** {@inheritDoc ChangingPlacer.refresh} */
+  /** {@inheritDoc ReconfigurablePlacer.refresh} */
   refresh(): void {
     const engines = this.directory.getModels().flatMap((model) => this.enginesOf(model));
     this.knowledge.roleChanges.prune(engines, this.clock.now());
@@ -308,7 +308,7 @@
     }
   }
 
-  private place(pool: LocalPool, { request, pair, waitReason: lacked }: PlaceDecision): void {
+  private place(pool: LocalPool, { request, pair, waitReason }: PlaceDecision): void {
     const waiting = pool.waiting.get(request);
     if (waiting === undefined) return;
     const { item } = waiting;
@@ -333,7 +333,7 @@
       promptTokens: item.promptTokens,
       memoryTokens: Math.round(memoryTokens),
       waitedMs: Math.round(this.clock.now() - waiting.since),
-      lacked,
+      lacked: waitReason,
     });
     this.resolveRequest(pool, request, ok(placed));
   }
--- a/packages/router/src/placing/LocalReservations.ts
+++ b/packages/router/src/placing/LocalReservations.ts
@@ -46,14 +46,14 @@
 
   /** Reserves the engines of a request that is placed now. */
   reserve(work: Omit<LocalReservation, 'wasIdle'>, now: Millis): ReservationId {
-    const { inFlight: use } = this.knowledge;
+    const { inFlight } = this.knowledge;
     const { pair, promptTokens, memoryTokens } = work;
     const prefillAt = pair.prefill ?? pair.decode;
-    const wasIdle = use.getTotal(prefillAt, now).prefillTokens === 0;
+    const wasIdle = inFlight.getTotal(prefillAt, now).prefillTokens === 0;
     this.startedCount += 1;
     const reservation = `${this.prefix}.p${this.startedCount}`;
-    use.adjust(prefillAt, { prefillTokens: promptTokens });
-    use.adjust(pair.decode, { streams: 1, memoryTokens });
+    inFlight.adjust(prefillAt, { prefillTokens: promptTokens });
+    inFlight.adjust(pair.decode, { streams: 1, memoryTokens });
     const { slowStart } = this.knowledge;
     new Set([prefillAt, pair.decode]).forEach((engine) => slowStart.recordRequest(engine, now));
     this.prefilling.add(reservation);
--- a/packages/router/src/placing/PlacementClient.ts
+++ b/packages/router/src/placing/PlacementClient.ts
@@ -17,7 +17,7 @@
 import type { PeerLink, PeerRequest, PeerResponse, Placement } from '@camphorvane/peer';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { ChangingPlacer } from '../agreement/HostAgreement.ts';
+import type { ReconfigurablePlacer } from '../coordination/HostCoordination.ts';
 import type { GroupGate } from '../host/ports.ts';
 import type { FallbackPlacer } from './FallbackPlacer.ts';
 import type { EnginePlacement } from './Placer.ts';
@@ -54,7 +54,7 @@
 }
 
 /** Places requests through the coordinator of their pool, on this host or on a peer. */
-export class PlacementClient implements ChangingPlacer {
+export class PlacementClient implements ReconfigurablePlacer {
   private readonly options: PlacementClientOptions;
 
   /** Time of the last failed request to each host that has not answered since. */
@@ -155,7 +155,7 @@
    */
   async ask(req: PlacementRequest, timeoutMs: Millis): Promise<PeerResponse | undefined> {
     const { group, coordinators, link, self, clock } = this.options;
-    const coordinator = group.stewardOf(poolKey(req.model));
+    const coordinator = group.coordinatorOf(poolKey(req.model));
     if (coordinator === undefined) return undefined;
     if (coordinator.host === self) return coordinators.answer(req);
     const res = await link.ask(coordinator, req satisfies PeerRequest, timeoutMs);
@@ -182,7 +182,7 @@
   }
 
   private isCoordinatorSilent(model: ModelId): boolean {
-    const coordinator = this.options.group.stewardOf(poolKey(model));
+    const coordinator = this.options.group.coordinatorOf(poolKey(model));
     if (coordinator === undefined) return true;
     const failedAt = this.unansweredAt.get(coordinator.host);
     return failedAt !== undefined && this.options.clock.now() - failedAt < SILENCE_TTL_MS;
--- a/packages/router/src/placing/RoleControl.ts
+++ b/packages/router/src/placing/RoleControl.ts
@@ -6,7 +6,7 @@
 import type { UpstreamError } from '@camphorvane/upstream';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { Metrics } from '../observe/Metrics.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import { roleView } from './roleView.ts';
 
 /** Milliseconds between two decisions on the engine roles of a pool. */
@@ -42,7 +42,7 @@
 /** Milliseconds before an unanswered order is sent again. */
 const ORDER_RETRY_MS: Millis = 700;
 
-const log = stateLog('roles');
+const log = eventLog('roles');
 
 /** Dependencies of {@link RoleControl}. */
 export interface RoleControlOptions {
@@ -50,7 +50,7 @@
   readonly directory: Pick<UpstreamDirectory, 'getModels' | 'getPool' | 'getEngine'>;
   readonly knowledge: EngineKnowledge;
   /** Lease without which this host sends no orders. */
-  readonly lease: Pick<StoreLease, 'hold' | 'getFence'>;
+  readonly lease: Pick<StoreLease, 'acquireOrRenew' | 'getFencingToken'>;
   /** Name of this host in orders. */
   readonly holder: string;
   /** Gets the number of hosts that precede this one; undefined while it must not decide. */
@@ -121,7 +121,7 @@
 
   private async moveEngines(view: RoleView, { engines, role }: MoveDecision): Promise<void> {
     const { clock, knowledge, lease, announce } = this.options;
-    const state = await lease.hold();
+    const state = await lease.acquireOrRenew();
     if (state.type === 'not_held') {
       log('lease_not_held', { reason: state.reason });
       return;
@@ -156,7 +156,7 @@
     let last: OrderOutcome = 'lease_lost';
     while (attempts < ORDER_ATTEMPTS) {
       attempts += 1;
-      const fence = lease.getFence() ?? (await this.renewLease());
+      const fence = lease.getFencingToken() ?? (await this.renewLease());
       const engine = directory.getEngine(id)?.engine;
       if (fence === undefined || engine === undefined) return last;
       const result = await engine.order({ type: 'role', role, fence, holder, expected });
@@ -170,7 +170,7 @@
   }
 
   private async renewLease(): Promise<number | undefined> {
-    const state = await this.options.lease.hold();
+    const state = await this.options.lease.acquireOrRenew();
     return state.type === 'held' ? state.fence : undefined;
   }
 
--- a/packages/router/src/placing/roleView.ts
+++ b/packages/router/src/placing/roleView.ts
@@ -24,32 +24,32 @@
   const { model, engines, knowledge, holdBackMs, now } = sources;
   const { health, demand } = knowledge;
   const ids = engines.map(({ id }) => id);
-  const readPerMs = health.meanPrefillTokensPerMs(ids);
-  const tokenMs = health.meanTokenIntervalMs(ids);
+  const prefillTokensPerMs = health.meanPrefillTokensPerMs(ids);
+  const tokenIntervalMs = health.meanTokenIntervalMs(ids);
   const onTimeMs = demand.getOnTimeMs(model);
-  const switchMs = engines[0]?.roleSwitchMs;
-  if (readPerMs === undefined || tokenMs === undefined) return undefined;
-  if (onTimeMs === undefined || switchMs === undefined) return undefined;
+  const roleSwitchMs = engines[0]?.roleSwitchMs;
+  if (prefillTokensPerMs === undefined || tokenIntervalMs === undefined) return undefined;
+  if (onTimeMs === undefined || roleSwitchMs === undefined) return undefined;
   const pieces = Math.min(...engines.map(({ memoryPieces }) => memoryPieces));
   return {
     engines: engines.map((cfg) => toShiftable(cfg, knowledge, now)),
     buckets: demand.getBuckets(model, now),
-    prefillTokensPerMs: readPerMs,
+    prefillTokensPerMs,
     memoryTokens: pieces * TOKENS_PER_PIECE * MEMORY_FILL_LIMIT,
-    tokenIntervalMs: tokenMs,
+    tokenIntervalMs,
     onTimeMs,
-    roleSwitchMs: switchMs,
+    roleSwitchMs,
     holdBackMs,
   };
 }
 
 function toShiftable(
   { id, zone, role }: EngineConfig,
-  { inFlight: use, health, roleChanges: moves }: EngineKnowledge,
+  { inFlight, health, roleChanges }: EngineKnowledge,
   now: Millis,
 ): EngineRoleState {
-  const target = moves.getTargetRole(id, now);
-  const { prefillTokens, memoryTokens } = use.getTotal(id, now);
+  const target = roleChanges.getTargetRole(id, now);
+  const { prefillTokens, memoryTokens } = inFlight.getTotal(id, now);
   return {
     id,
     zone,
--- a/packages/router/src/serving/CompletionAttempt.ts
+++ b/packages/router/src/serving/CompletionAttempt.ts
@@ -1,8 +1,8 @@
 import type { Millis, UpstreamId } from '@camphorvane/core';
 import { piecesFor, sleep } from '@camphorvane/core';
 import type { DecodeEvent, ModelEngine, PrefillResult, UpstreamError } from '@camphorvane/upstream';
-import { reachedNobody } from '@camphorvane/upstream';
-import { stateLog } from '../observe/StateLog.ts';
+import { reachedNoUpstream } from '@camphorvane/upstream';
+import { eventLog } from '../observe/EventLog.ts';
 import { streamTruncated, reservationEnd, engineGone, unconfigured } from './attemptEnds.ts';
 import { StallDetector } from './StallDetector.ts';
 import type {
@@ -13,7 +13,7 @@
   FailedAttempt,
 } from './completionAttemptPlan.ts';
 
-const log = stateLog('attempt');
+const log = eventLog('attempt');
 
 /**
  * Milliseconds after a prefill within which another decode engine may fetch its KV cache. Engines keep it
@@ -114,7 +114,7 @@
     while (outcome.type === 'failed' && !outcome.error.dispatched && clock.now() < until) {
       rejectedBy.push(engine.id);
       if (this.abort.signal.aborted) return outcome;
-      if (!reachedNobody(outcome.error) && !this.plan.tryRetry()) return outcome;
+      if (!reachedNoUpstream(outcome.error) && !this.plan.tryRetry()) return outcome;
       const next = await this.nextDecodeEngine(rejectedBy, until);
       if (next === undefined) return outcome;
       engine = next;
--- a/packages/router/src/serving/CompletionHandler.ts
+++ b/packages/router/src/serving/CompletionHandler.ts
@@ -1,11 +1,11 @@
 import type { HostId, Millis, PoolConfig, Refusal } from '@camphorvane/core';
-import { notRun, outcomeUnknown, piecesFor, promptTokens } from '@camphorvane/core';
+import { notRun, outcomeUnknown, piecesFor, countPromptTokens } from '@camphorvane/core';
 import { planResume } from '@camphorvane/decisions';
 import type { WorkItem } from '@camphorvane/decisions';
-import { reachedNobody } from '@camphorvane/upstream';
+import { reachedNoUpstream } from '@camphorvane/upstream';
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { RateCharge, RateGate, RepeatGate } from '../host/ports.ts';
+import type { RateCharge, RateGate, RetryGate } from '../host/ports.ts';
 import type { EnginePlacement } from '../placing/Placer.ts';
 import type {
   AttemptEvent,
@@ -54,7 +54,7 @@
 export interface CompletionHandlerOptions extends AttemptDependencies {
   readonly self: HostId;
   readonly rates: RateGate;
-  readonly retryGate: RepeatGate;
+  readonly retryGate: RetryGate;
   readonly crashGuard: CrashGuard;
 }
 
@@ -87,7 +87,7 @@
       {
         team: completion.caller.team,
         class: completion.class,
-        tokens: promptTokens(completion.prompt) + completion.maxTokens,
+        tokens: countPromptTokens(completion.prompt) + completion.maxTokens,
         maxWaitMs: maxQueueWait(
           completion.config,
           pool.value,
@@ -111,7 +111,7 @@
     acceptedAt: Millis,
   ): AsyncGenerator<ServingEvent> {
     const progress = new CompletionProgress(
-      promptTokens(completion.prompt),
+      countPromptTokens(completion.prompt),
       acceptedAt,
       completionDigest(completion),
       completion.policy.fromPosition,
@@ -176,7 +176,7 @@
     const now = this.options.clock.now();
     const engines = [pair.prefill, pair.decode].filter((engine) => engine !== undefined);
     const request = { team: completion.caller.team.id, service: pool.model };
-    this.options.retryGate.attempted(request, engines, now);
+    this.options.retryGate.recordAttempt(request, engines, now);
   }
 
   /** Decides whether another attempt follows a failed one; gets the refusal if none does. */
@@ -206,8 +206,8 @@
         prefillTokensPerMs: MIN_PREFILL_TOKENS_PER_MS,
         transferMs: (piecesFor(progress.promptTokens) / pool.linkPiecesPerSecond) * MS_PER_SECOND,
         mayRetry: () =>
-          reachedNobody(outcome.error) ||
-          this.options.retryGate.tryRepeat(
+          reachedNoUpstream(outcome.error) ||
+          this.options.retryGate.tryRetry(
             completionRetryTarget(completion, pool, outcome.engine),
             now,
           ),
@@ -241,7 +241,7 @@
       fromPosition: progress.getNextPosition(),
       maxTokens: completion.maxTokens,
       tryRetry: () =>
-        this.options.retryGate.tryRepeat(
+        this.options.retryGate.tryRetry(
           completionRetryTarget(completion, pool, placement.decode),
           this.options.clock.now(),
         ),
@@ -309,7 +309,7 @@
     if (pool === undefined) return err(notRun('unknown_model', 'No pool serves this model.'));
     const allowed = caller.team.models.length === 0 || caller.team.models.includes(model);
     if (!allowed) return err(notRun('model_not_allowed', 'The team may not use this model.'));
-    if (promptTokens(completion.prompt) + completion.maxTokens > pool.maxTokens) {
+    if (countPromptTokens(completion.prompt) + completion.maxTokens > pool.maxTokens) {
       return err(
         notRun(
           'prompt_too_long',
--- a/packages/router/src/serving/ConcurrencyShares.ts
+++ b/packages/router/src/serving/ConcurrencyShares.ts
@@ -50,15 +50,15 @@
    * @param now - Present time.
    * @returns Slots, not rounded.
    */
-  shareOf(service: ServiceId, places: number, hosts: number, now: Millis): number {
-    const unheard = Math.max(0, hosts - 1 - this.peers.countPeers(now));
-    const others = this.peers.sum(service, now);
-    const own = this.reported.get(service) ?? 0;
+  shareOf(service: ServiceId, concurrency: number, hosts: number, now: Millis): number {
+    const silentHosts = Math.max(0, hosts - 1 - this.peers.countPeers(now));
+    const peerCalls = this.peers.sum(service, now);
+    const ownCalls = this.reported.get(service) ?? 0;
     return concurrencyShare({
-      concurrency: places,
-      ownCalls: own,
-      peerCalls: others,
-      silentHosts: unheard,
+      concurrency,
+      ownCalls,
+      peerCalls,
+      silentHosts,
       hosts,
     });
   }
--- a/packages/router/src/serving/ForwardHandler.ts
+++ b/packages/router/src/serving/ForwardHandler.ts
@@ -15,11 +15,11 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { AuthenticatedCaller, Authenticator } from '../host/Authenticator.ts';
-import type { InFlight } from '../host/InFlight.ts';
+import type { InFlightRequests } from '../host/InFlightRequests.ts';
 import type { ConfigSource } from '../host/ports.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { Metrics } from '../observe/Metrics.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import type { CompletionHandler } from './CompletionHandler.ts';
 import type { ServingEvent } from './resolvedCompletion.ts';
 import { chooseTarget, findForwardRoute } from './findForwardRoute.ts';
@@ -65,7 +65,7 @@
   keyDigest: undefined,
 };
 
-const log = stateLog('request');
+const log = eventLog('request');
 
 /** Options of a `ForwardHandler`. */
 export interface ForwardHandlerOptions {
@@ -74,7 +74,7 @@
   readonly authenticator: Authenticator;
   readonly config: ConfigSource;
   readonly directory: UpstreamDirectory;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightRequests;
   readonly completions: CompletionHandler;
   readonly services: ServiceCallHandler;
   readonly metrics: Metrics;
@@ -121,7 +121,7 @@
       return;
     }
     const call = routed.value;
-    const { abort, leave } = this.options.inFlight.join(id, call.caller, signal);
+    const { abort, leave } = this.options.inFlight.addForCaller(id, call.caller, signal);
     const cancelTimer = this.options.clock.after(call.deadlineAt - this.options.clock.now(), () =>
       abort.abort(deadlinePassed()),
     );
@@ -158,7 +158,7 @@
     if (target === undefined) {
       return err(notRun('no_capacity', 'The route has no usable target.', UNAVAILABLE_RETRY_MS));
     }
-    const patienceMs = Math.min(route.timeoutMs, req.patienceMs ?? DEFAULT_CALLER_TIMEOUT_MS);
+    const patienceMs = Math.min(route.timeoutMs, req.callerTimeoutMs ?? DEFAULT_CALLER_TIMEOUT_MS);
     const now = this.options.clock.now();
     const deadlineAt = now + patienceMs;
     return this.callerOf(route, req).map((caller) => {
@@ -203,7 +203,7 @@
         maxExecutions: route.maxAttempts,
         resumable: route.resumable,
         fromPosition: work?.lastPosition === undefined ? 0 : work.lastPosition + 1,
-        expectedTokens: work?.expectedTokens,
+        expectedTokens: work?.expectedOutputTokens,
         maxWaitMs: Math.min(route.targetMs * STREAM_MAX_WAIT_TARGETS, this.remainingMs(call)),
         onTimeMs: Math.max(0, route.targetMs * STREAM_ON_TIME_FRACTION - call.ageMs),
         longestPauseMs: route.longestPauseMs,
--- a/packages/router/src/serving/ServiceCallHandler.ts
+++ b/packages/router/src/serving/ServiceCallHandler.ts
@@ -1,17 +1,17 @@
-import type { ServiceReply } from '@camphorvane/caller';
+import type { ServiceResponse } from '@camphorvane/caller';
 import type { Clock, HostId, Incarnation, Millis, Refusal, UpstreamId } from '@camphorvane/core';
 import { notRun, outcomeUnknown, sha256Hex } from '@camphorvane/core';
 import type { ServiceQueueCall, SlowStart } from '@camphorvane/decisions';
 import type { Claim, ClaimRequest, IdempotencyClaims } from '@camphorvane/store';
 import { claimRefusal } from '@camphorvane/store';
-import type { ServiceAnswer, UpstreamError } from '@camphorvane/upstream';
-import { reachedNobody } from '@camphorvane/upstream';
+import type { UpstreamResponse, UpstreamError } from '@camphorvane/upstream';
+import { reachedNoUpstream } from '@camphorvane/upstream';
 import { ResultAsync, err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import type { RateGate, RepeatGate } from '../host/ports.ts';
+import type { RateGate, RetryGate } from '../host/ports.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { Metrics } from '../observe/Metrics.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import type { CrashGuard } from './CrashGuard.ts';
 import { abortRefusal } from './abortRefusal.ts';
 import type { ResolvedCall } from './resolvedCall.ts';
@@ -27,7 +27,7 @@
 /** Lowest status of an answer that counts as a failure of the server, which another server may not have. */
 const MIN_FAILURE_STATUS = 500;
 
-const log = stateLog('service');
+const log = eventLog('service');
 
 /** Options of a `ServiceCallHandler`. */
 export interface ServiceCallHandlerOptions {
@@ -38,7 +38,7 @@
   readonly rates: RateGate;
   /** Claims of non-idempotent calls; absent where every request of a caller is a call of its own. */
   readonly claims: IdempotencyClaims | undefined;
-  readonly retryGate: RepeatGate;
+  readonly retryGate: RetryGate;
   readonly crashGuard: CrashGuard;
   readonly self: { readonly host: HostId; readonly incarnation: Incarnation };
   readonly metrics: Metrics;
@@ -51,7 +51,7 @@
 }
 
 type AttemptOutcome =
-  | { readonly type: 'answer'; readonly server: UpstreamId; readonly answer: ServiceAnswer }
+  | { readonly type: 'answer'; readonly server: UpstreamId; readonly answer: UpstreamResponse }
   | { readonly type: 'refused'; readonly refusal: Refusal }
   | ({ readonly type: 'failed' } & FailedAttempt);
 
@@ -70,7 +70,7 @@
    * @param call - The call.
    * @returns The complete answer, or a refusal.
    */
-  async serve(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
+  async serve(call: ResolvedCall): Promise<Result<ServiceResponse, Refusal>> {
     const charge = await this.options.rates.charge(call.caller.team.id, call.route.costTokens);
     if (charge.isErr()) return err(charge.error);
     const reply = await this.serveCharged(call);
@@ -79,7 +79,7 @@
     return reply;
   }
 
-  private async serveCharged(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
+  private async serveCharged(call: ResolvedCall): Promise<Result<ServiceResponse, Refusal>> {
     const quarantined = this.options.crashGuard.refusalFor(serviceCallDigest(call));
     if (quarantined !== undefined) return err(quarantined);
     if (call.route.idempotent) return this.serveIdempotent(call);
@@ -90,9 +90,9 @@
   }
 
   /** Retries on other servers after failures; if all fail, the last error answer of a server is returned. */
-  private async serveIdempotent(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
+  private async serveIdempotent(call: ResolvedCall): Promise<Result<ServiceResponse, Refusal>> {
     const failures: FailedAttempt[] = [];
-    let errorAnswer: ServiceAnswer | undefined;
+    let errorAnswer: UpstreamResponse | undefined;
     let attempts = 0;
     while (
       attempts < call.policy.maxAttempts &&
@@ -121,8 +121,8 @@
     if (last === undefined) return true;
     const now = this.options.clock.now();
     if (now >= call.policy.deadlineAt) return false;
-    if (reachedNobody(last.error)) return true;
-    return this.options.retryGate.tryRepeat(serviceRetryTarget(call, last.server), now);
+    if (reachedNoUpstream(last.error)) return true;
+    return this.options.retryGate.tryRetry(serviceRetryTarget(call, last.server), now);
   }
 
   private failedRefusal(call: ResolvedCall): Refusal {
@@ -137,7 +137,7 @@
   }
 
   /** Runs a non-idempotent call at most once, without a claim: a retry of its caller is another call. */
-  private async serveOnceUnclaimed(call: ResolvedCall): Promise<Result<ServiceReply, Refusal>> {
+  private async serveOnceUnclaimed(call: ResolvedCall): Promise<Result<ServiceResponse, Refusal>> {
     const outcome = await this.attemptUntilDispatched(call);
     switch (outcome.type) {
       case 'answer':
@@ -170,7 +170,7 @@
   private async serveOnceClaimed(
     call: ResolvedCall,
     claims: IdempotencyClaims,
-  ): Promise<Result<ServiceReply, Refusal>> {
+  ): Promise<Result<ServiceResponse, Refusal>> {
     const req = this.claimRequest(call);
     if (req.isErr()) return err(req.error);
     const outcome = await claims.claim(req.value);
@@ -186,7 +186,7 @@
     call: ResolvedCall,
     claims: IdempotencyClaims,
     claim: Claim,
-  ): Promise<Result<ServiceReply, Refusal>> {
+  ): Promise<Result<ServiceResponse, Refusal>> {
     const outcome = await this.attemptUntilDispatched(call);
     switch (outcome.type) {
       case 'answer':
@@ -194,14 +194,14 @@
         void claims.finish(claim, outcome.answer);
         return ok({ ...outcome.answer, replayed: false });
       case 'refused':
-        await claims.abandon(claim);
+        await claims.releaseUndispatched(claim);
         return err(outcome.refusal);
       case 'failed':
         if (!outcome.error.dispatched) {
-          await claims.abandon(claim);
+          await claims.releaseUndispatched(claim);
           return err(notRun('upstream_failed', 'No server accepted the call.', RETRY_AFTER_MS));
         }
-        void claims.leaveUnknown(claim);
+        void claims.markOutcomeUnknown(claim);
         return err(
           outcomeUnknown('outcome_unknown', 'The call was sent, but no complete answer came back.'),
         );
@@ -261,7 +261,7 @@
     if (chosen.isErr()) return { type: 'refused', refusal: chosen.error };
     if (failures.length === 0) {
       const request = { team: call.caller.team.id, service: call.service.id };
-      this.options.retryGate.attempted(request, [chosen.value], this.options.clock.now());
+      this.options.retryGate.recordAttempt(request, [chosen.value], this.options.clock.now());
     }
     const result = await this.dispatch(call, gateCall, chosen.value);
     this.options.queues.releaseServer(call.service.id, gateCall, chosen.value, hasFailed(result));
@@ -280,7 +280,7 @@
   private recordCrash(
     call: ResolvedCall,
     server: UpstreamId,
-    result: Result<ServiceAnswer, UpstreamError>,
+    result: Result<UpstreamResponse, UpstreamError>,
   ): void {
     const digest = serviceCallDigest(call);
     if (result.isOk()) this.options.crashGuard.recordSuccess(digest);
@@ -289,11 +289,11 @@
 
   private recordReachability(
     server: UpstreamId,
-    result: Result<ServiceAnswer, UpstreamError>,
+    result: Result<UpstreamResponse, UpstreamError>,
   ): void {
     const { slowStart, clock } = this.options;
     if (result.isOk()) slowStart.recordAnswer(server, clock.now());
-    else if (reachedNobody(result.error)) slowStart.recordUnreachable(server);
+    else if (reachedNoUpstream(result.error)) slowStart.recordUnreachable(server);
   }
 
   private remainingMs(call: ResolvedCall): Millis {
@@ -304,7 +304,7 @@
     call: ResolvedCall,
     gateCall: ServiceQueueCall,
     server: UpstreamId,
-  ): ResultAsync<ServiceAnswer, UpstreamError> {
+  ): ResultAsync<UpstreamResponse, UpstreamError> {
     const client = this.options.directory.getServer(server)?.server;
     if (client === undefined) {
       const removed: UpstreamError = {
@@ -338,7 +338,7 @@
   return { server, error: { type: 'broken', dispatched: true, message } };
 }
 
-function hasFailed(result: Result<ServiceAnswer, UpstreamError>): boolean {
+function hasFailed(result: Result<UpstreamResponse, UpstreamError>): boolean {
   return result.isErr() || result.value.status >= MIN_FAILURE_STATUS;
 }
 
--- a/packages/router/src/serving/ServiceQueues.ts
+++ b/packages/router/src/serving/ServiceQueues.ts
@@ -14,13 +14,13 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
-import { stateLog } from '../observe/StateLog.ts';
+import { eventLog } from '../observe/EventLog.ts';
 import type { ConcurrencyShares } from './ConcurrencyShares.ts';
 
 /** Milliseconds between two checks whether servers in slow start may take another waiting call. */
 const SLOW_START_RECHECK_MS: Millis = 50;
 
-const log = stateLog('service');
+const log = eventLog('service');
 
 type ServerChoice = Result<UpstreamId, Refusal>;
 
--- a/packages/router/src/serving/completionAttemptPlan.ts
+++ b/packages/router/src/serving/completionAttemptPlan.ts
@@ -1,6 +1,6 @@
 import type { Clock, PoolConfig, Prompt, Tokens, UpstreamId } from '@camphorvane/core';
 import type { AdoptedReservation, PromptPrefix } from '@camphorvane/decisions';
-import type { AnswerHead, PrefillResult, UpstreamError } from '@camphorvane/upstream';
+import type { UpstreamResponseHead, PrefillResult, UpstreamError } from '@camphorvane/upstream';
 import type { Metrics } from '../observe/Metrics.ts';
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import type { EngineObserver } from '../placing/EngineObserver.ts';
@@ -46,7 +46,7 @@
       /** The decode engine gave a final answer instead of a stream, such as an error. */
       readonly type: 'answered';
       readonly engine: UpstreamId;
-      readonly head: AnswerHead;
+      readonly head: UpstreamResponseHead;
       readonly body: Uint8Array;
     }
   | FailedAttempt;
@@ -61,6 +61,6 @@
 
 /** An event of an attempt that is sent to the caller. */
 export type AttemptEvent =
-  | { readonly type: 'head'; readonly head: AnswerHead }
+  | { readonly type: 'head'; readonly head: UpstreamResponseHead }
   | { readonly type: 'token'; readonly position: number; readonly text: string }
   | { readonly type: 'piece'; readonly position: number; readonly bytes: Uint8Array };
--- a/packages/router/src/serving/resolvedCall.ts
+++ b/packages/router/src/serving/resolvedCall.ts
@@ -1,7 +1,7 @@
 import type { ServiceRequest } from '@camphorvane/caller';
 import type { Millis, RequestId, ServiceConfig, ServiceRoute, UpstreamId } from '@camphorvane/core';
 import type { AuthenticatedCaller } from '../host/Authenticator.ts';
-import type { RepeatTarget } from '../host/ports.ts';
+import type { RetryTarget } from '../host/ports.ts';
 import { CrashGuard } from './CrashGuard.ts';
 
 /** Limits on the attempts of one service call. */
@@ -29,7 +29,7 @@
   readonly signal: AbortSignal;
 }
 
-export function serviceRetryTarget(call: ResolvedCall, upstream: UpstreamId): RepeatTarget {
+export function serviceRetryTarget(call: ResolvedCall, upstream: UpstreamId): RetryTarget {
   return { team: call.caller.team.id, service: call.service.id, upstream };
 }
 
--- a/packages/router/src/serving/resolvedCompletion.ts
+++ b/packages/router/src/serving/resolvedCompletion.ts
@@ -10,9 +10,9 @@
   UpstreamId,
   WorkClass,
 } from '@camphorvane/core';
-import type { AnswerHead } from '@camphorvane/upstream';
+import type { UpstreamResponseHead } from '@camphorvane/upstream';
 import type { AuthenticatedCaller } from '../host/Authenticator.ts';
-import type { RateCharge, RepeatTarget } from '../host/ports.ts';
+import type { RateCharge, RetryTarget } from '../host/ports.ts';
 import type { AttemptOutcome, FailedAttempt } from './completionAttemptPlan.ts';
 import type { CompletionProgress } from './CompletionProgress.ts';
 import { CrashGuard } from './CrashGuard.ts';
@@ -64,9 +64,9 @@
 /** An event of a completion: of the native API, or of a forwarded call. */
 export type ServingEvent =
   | CompletionEvent
-  | { readonly type: 'head'; readonly head: AnswerHead }
+  | { readonly type: 'head'; readonly head: UpstreamResponseHead }
   | { readonly type: 'piece'; readonly position: number; readonly bytes: Uint8Array }
-  | { readonly type: 'answer'; readonly head: AnswerHead; readonly body: Uint8Array };
+  | { readonly type: 'answer'; readonly head: UpstreamResponseHead; readonly body: Uint8Array };
 
 /**
  * Tells whether a completion may have been executed, so that a refusal must not say `not_run`.
@@ -104,7 +104,7 @@
   completion: ResolvedCompletion,
   pool: PoolConfig,
   upstream: UpstreamId,
-): RepeatTarget {
+): RetryTarget {
   return { team: completion.caller.team.id, service: pool.model, upstream };
 }
 
--- a/packages/router/src/serving/retryGates.ts
+++ b/packages/router/src/serving/retryGates.ts
@@ -1,5 +1,5 @@
 import type { ServiceRetryBudget, RetryBudget } from '@camphorvane/decisions';
-import type { RepeatGate } from '../host/ports.ts';
+import type { RetryGate } from '../host/ports.ts';
 
 /**
  * Limits retries by the budgets of the caller's team and of the upstream that failed.
@@ -7,11 +7,11 @@
  * @param budget - The budgets of teams and upstreams.
  * @returns The gate.
  */
-export function teamRetryGate(budget: RetryBudget): RepeatGate {
+export function teamRetryGate(budget: RetryBudget): RetryGate {
   return {
-    attempted: ({ team }, upstreams, now) =>
+    recordAttempt: ({ team }, upstreams, now) =>
       upstreams.forEach((upstream) => budget.recordAttempt(team, upstream, now)),
-    tryRepeat: ({ team, upstream }, now) => budget.tryRetry(team, upstream, now),
+    tryRetry: ({ team, upstream }, now) => budget.tryRetry(team, upstream, now),
   };
 }
 
@@ -21,9 +21,9 @@
  * @param budget - The budgets of services.
  * @returns The gate.
  */
-export function serviceRetryGate(budget: ServiceRetryBudget): RepeatGate {
+export function serviceRetryGate(budget: ServiceRetryBudget): RetryGate {
   return {
-    attempted: ({ service }, _upstreams, now) => budget.recordAttempt(service, now),
-    tryRepeat: ({ service }, now) => budget.tryRetry(service, now),
+    recordAttempt: ({ service }, _upstreams, now) => budget.recordAttempt(service, now),
+    tryRetry: ({ service }, now) => budget.tryRetry(service, now),
   };
 }
--- a/packages/router/tests/Host.test.ts
+++ b/packages/router/tests/Host.test.ts
@@ -88,7 +88,7 @@
     late.map((event) => (event.type === 'refused' ? event.refusal.code : event.type)),
     ['host_draining'],
   );
-  const advice = fleet.host(1).backend.advise(fleet.key)._unsafeUnwrap();
+  const advice = fleet.host(1).backend.recommendHosts(fleet.key)._unsafeUnwrap();
   assert.deepEqual(advice.hosts.map((host) => host.host).sort(), ['h2', 'h3']);
   assert.equal(textOf(await call.waitForEnd(fleet)), expectedText('slow #tokens=300', 300));
   await fleet.clock.advance(20_000);
--- a/packages/router/tests/agreement/DeploymentFeed.test.ts
+++ b/packages/router/tests/coordination/DeploymentFeed.test.ts
@@ -4,9 +4,9 @@
 import { SlowStart } from '@camphorvane/decisions';
 import type { DeploymentFormat, ServerRecord } from '@camphorvane/store';
 import { ok } from 'neverthrow';
-import { DeploymentFeed } from '../../src/agreement/DeploymentFeed.ts';
+import { DeploymentFeed } from '../../src/coordination/DeploymentFeed.ts';
 import { UpstreamDirectory } from '../../src/host/UpstreamDirectory.ts';
-import { ChangingStore } from '../support/ChangingStore.ts';
+import { WatchableMemoryStore } from '../support/WatchableMemoryStore.ts';
 
 const SLOW_START = { forMs: 3_000, requestsPerSecond: 30 };
 
@@ -17,7 +17,7 @@
   drainedZoneKind: 'drains',
   hostKind: 'hosts',
   leaseKind: 'leases',
-  readConfig: () =>
+  parseConfig: () =>
     ok({
       version: 1,
       teams: [],
@@ -25,7 +25,7 @@
       limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
       services: [{ id: 'plain', engines: undefined, slowStart: SLOW_START }],
     }),
-  readServer: ({ name, value }) =>
+  parseServer: ({ name, value }) =>
     ({
       ...{ id: name, service: 'plain', address: '10.0.0.1:1', slots: 4 },
       ...{ leaving: false, role: undefined, startingMs: 0 },
@@ -46,14 +46,14 @@
 
   stateChanges = 0;
 
-  constructor(store: ChangingStore, drainsZones = true) {
+  constructor(store: WatchableMemoryStore, drainsZones = true) {
     this.slowStart.setBounds(new Map(['s-a', 's-b'].map((id) => [id, SLOW_START])));
     this.feed = new DeploymentFeed({
       ...{ store: store.asStore(), format: FORMAT, clock: this.clock },
       ...{ random: new RandomSource(1), strictKeysMs: undefined, watchMs: 2_000, drainsZones },
       mode: () => 'watch',
       pollMs: () => 2_000,
-      onNews: () => {
+      onStateChange: () => {
         this.stateChanges += 1;
       },
       slowStart: this.slowStart,
@@ -74,13 +74,13 @@
       () => ({}) as never,
       () => ({}) as never,
     );
-    directory.reshape(config);
+    directory.reconfigure(config);
     return directory.getService('plain')?.servers.map(({ id }) => id);
   }
 }
 
-function deployed(): ChangingStore {
-  const store = new ChangingStore();
+function deployed(): WatchableMemoryStore {
+  const store = new WatchableMemoryStore();
   store.put('config', 'main');
   store.put('servers', 's-a', { zone: 'a' });
   store.put('servers', 's-b', { zone: 'b' });
@@ -109,10 +109,10 @@
   const store = deployed();
   store.put('drains', 'a');
   const host = new Host(store);
-  store.isAway = true;
-  host.feed.receiveDrained({ version: 0, zones: [] });
+  store.isUnavailable = true;
+  host.feed.receiveDrainedZones({ version: 0, zones: [] });
   assert.equal(host.servers(), undefined);
-  store.isAway = false;
+  store.isUnavailable = false;
   await host.clock.advance(1_000);
   assert.deepEqual(host.servers(), ['s-b']);
 });
@@ -123,12 +123,12 @@
   const host = new Host(store);
   await host.settle();
   const { stateChanges } = host;
-  host.feed.receiveDrained({ version: store.version + 5, zones: ['a'] });
+  host.feed.receiveDrainedZones({ version: store.version + 5, zones: ['a'] });
   assert.deepEqual(host.servers(), ['s-b']);
   assert.equal(host.stateChanges, stateChanges + 1);
-  host.feed.receiveDrained({ version: store.version + 4, zones: [] });
+  host.feed.receiveDrainedZones({ version: store.version + 4, zones: [] });
   assert.deepEqual(host.servers(), ['s-b']);
-  host.feed.receiveDrained({ version: store.version + 6, zones: [] });
+  host.feed.receiveDrainedZones({ version: store.version + 6, zones: [] });
   assert.deepEqual(host.servers(), ['s-a', 's-b']);
 });
 
--- a/packages/router/tests/agreement/DigestBuilder.test.ts
+++ b/packages/router/tests/coordination/DigestBuilder.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { HostHint } from '@camphorvane/peer/hints';
-import { DigestBuilder } from '../../src/agreement/DigestBuilder.ts';
+import { DigestBuilder } from '../../src/coordination/DigestBuilder.ts';
 
 const hint = (host: string, more: Partial<HostHint> = {}): HostHint => ({
   ...{
@@ -37,7 +37,7 @@
     hint('c', { down: ['x'], leaving: true, versions: { config: 7, servers: 2 } }),
     0,
   );
-  const sums = builder.sumUp();
+  const sums = builder.aggregate();
   const forA = builder.digestFor('a', sums, HEAD);
   assert.deepEqual(forA.engines, [load('e', 1), load('f', 4)]);
   assert.deepEqual(forA.calls, [['s', 5]]);
@@ -62,7 +62,7 @@
   };
   receiveAll(10);
   receiveAll(14);
-  const [forA] = builder.digestFor('a', builder.sumUp(), HEAD).demand;
+  const [forA] = builder.digestFor('a', builder.aggregate(), HEAD).demand;
   assert.equal(forA?.requests, 4);
   assert.equal(forA?.onTimeWaiting, 3);
 });
--- a/packages/router/tests/agreement/HostRoster.test.ts
+++ b/packages/router/tests/coordination/HostRoster.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { HostRecord } from '../../src/agreement/hostRecord.ts';
-import { HostRoster } from '../../src/agreement/HostRoster.ts';
+import type { HostRecord } from '../../src/coordination/hostRecord.ts';
+import { HostRoster } from '../../src/coordination/HostRoster.ts';
 
 function record(host: string, leaving = false): HostRecord {
   return {
@@ -45,12 +45,12 @@
   roster.update(list(['a', 'b']), 0);
   roster.update(list(['a', 'b']), 60_000);
   assert.deepEqual(roster.getExpired(), []);
-  assert.equal(roster.countSharers(), 2);
+  assert.equal(roster.countHosts(), 2);
 });
 
 test('a record that is not renewed while the store answers expires', () => {
   const roster = new HostRoster('a', 'a');
-  Array.from({ length: roster.recordLifeMs() / 1_000 + 4 }, (_, i) => i * 1_000).forEach((now) =>
+  Array.from({ length: roster.recordTtlMs() / 1_000 + 4 }, (_, i) => i * 1_000).forEach((now) =>
     roster.update(list(['a', 'b']), now),
   );
   assert.deepEqual(roster.getExpired(), [{ host: 'b', version: 1 }]);
--- a/packages/router/tests/agreement/ServerRoster.test.ts
+++ b/packages/router/tests/coordination/ServerRoster.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ServerRecord } from '@camphorvane/store';
-import { ServerRoster } from '../../src/agreement/ServerRoster.ts';
+import { ServerRoster } from '../../src/coordination/ServerRoster.ts';
 
 function server(id: string, leaving = false): ServerRecord {
   return {
@@ -57,9 +57,9 @@
 test('the end of the grace period is known', () => {
   const roster = new ServerRoster();
   roster.update([server('a')], 0, 0);
-  assert.equal(roster.nextChange(0), undefined);
+  assert.equal(roster.getGraceEnd(0), undefined);
   roster.update([], 4_000, 10_000);
-  const change = roster.nextChange(10_000);
+  const change = roster.getGraceEnd(10_000);
   assert.ok(change !== undefined && change > 12_000 && change < 12_500);
 });
 
--- a/packages/router/tests/observe/lossTable.test.ts
+++ b/packages/router/tests/observe/lossTable.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { parseLogLines } from '../../src/observe/logLines.ts';
 import { lossTable } from '../../src/observe/lossTable.ts';
-import type { RequestStory } from '../../src/observe/requestStories.ts';
-import { requestStories } from '../../src/observe/requestStories.ts';
+import type { RequestSummary } from '../../src/observe/summarizeRequests.ts';
+import { summarizeRequests } from '../../src/observe/summarizeRequests.ts';
 
 const TARGET_FIELDS = '"kind":"stream","targetMs":900,"longestPauseMs":300,"team":"t"';
 
@@ -13,8 +13,8 @@
 const line = (id: string, t: number, event: string, fields: string): string =>
   `h1 {"t":${t},"part":"x","event":"${event}","id":"${id}",${fields}}`;
 
-const summaryOf = (...lines: readonly string[]): RequestStory | undefined =>
-  requestStories(parseLogLines(lines))[0];
+const summaryOf = (...lines: readonly string[]): RequestSummary | undefined =>
+  summarizeRequests(parseLogLines(lines))[0];
 
 test('a stream whose first event and pauses are within their bounds is on time', () => {
   const summary = summaryOf(
@@ -70,7 +70,7 @@
 });
 
 test('the table counts a late answer as a fractional loss and lists the worst time windows', () => {
-  const requests = requestStories(
+  const requests = summarizeRequests(
     parseLogLines([
       accepted('a', 0),
       line('a', 900, 'whole', '"firstMs":100,"pauseMs":0,"tookMs":900'),
@@ -80,7 +80,7 @@
       line('c', 5_010, 'refused', '"code":"over_rate"'),
     ]),
   );
-  const table = lossTable(requests, { lateWorth: 0.2, windowMs: 2_000 });
+  const table = lossTable(requests, { lateValue: 0.2, windowMs: 2_000 });
   assert.equal(table[0], '3 requests, 1 on time, worth lost 1.8');
   assert.match(table[3] ?? '', /r +over_rate +0 +1 +0 +1\.0/);
   assert.match(table.join('\n'), /\n +4000 +1 +0 +0 +1 +0 +1\.0/);
--- a/packages/router/tests/placing/RoleControl.test.ts
+++ b/packages/router/tests/placing/RoleControl.test.ts
@@ -87,9 +87,9 @@
 // Guards against an order from a host that was suspended after its decision and has lost the lease since.
 test('a host that loses the lease after its decision sends no order', async () => {
   await withFleet(async (fleet) => {
-    const { roleChanges: moves } = fleet.knowledge;
-    const begin = moves.begin.bind(moves);
-    moves.begin = (...args) => {
+    const { roleChanges } = fleet.knowledge;
+    const begin = roleChanges.begin.bind(roleChanges);
+    roleChanges.begin = (...args) => {
       begin(...args);
       fleet.configure({ lease: { type: 'not_held', reason: 'held_by_other' } });
     };
--- a/packages/router/tests/serving/ForwardHandler.test.ts
+++ b/packages/router/tests/serving/ForwardHandler.test.ts
@@ -295,7 +295,7 @@
     decodeScripts: { d1: first, d2: first },
     route: { resumable: true, timeoutMs: 5_000 },
   });
-  const events = await fleet.send('/llm/x', { patienceMs: 5_000 });
+  const events = await fleet.send('/llm/x', { callerTimeoutMs: 5_000 });
   assert.equal(answerText(events), '0;1;2;3;');
   assert.equal(answerEnding(events), 'done');
   assert.equal(new Set(fleet.decodes).size, 2);
@@ -309,7 +309,7 @@
     route: { timeoutMs: 9_000 },
   });
   const startedAt = Date.now();
-  const events = await fleet.send('/llm/x', { patienceMs: 9_000 });
+  const events = await fleet.send('/llm/x', { callerTimeoutMs: 9_000 });
   assert.equal(answerEnding(events), 'upstream_failed unknown');
   assert.ok(Date.now() - startedAt < 4_000);
   assert.equal(fleet.decodes.length, 1);
@@ -322,7 +322,7 @@
     probeable: ['d1', 'd2'],
     route: { resumable: true, timeoutMs: 5_000 },
   });
-  const events = await fleet.send('/llm/x', { patienceMs: 5_000 });
+  const events = await fleet.send('/llm/x', { callerTimeoutMs: 5_000 });
   assert.equal(answerText(events), '0;1;2;3;');
   assert.equal(fleet.decodes.length, 1);
 });
--- a/packages/router/tests/support/ForwardFleet.ts
+++ b/packages/router/tests/support/ForwardFleet.ts
@@ -2,7 +2,7 @@
 import type {
   EngineConfig,
   ForwardRoute,
-  LoadSnapshot,
+  LoadReport,
   RoutingConfig,
   ServiceServer,
   VersionedConfig,
@@ -10,20 +10,20 @@
 import { RandomSource, sha256Hex, SystemClock } from '@camphorvane/core';
 import { EngineKnowledge, ServiceRetryBudget } from '@camphorvane/decisions';
 import { Host, Metrics } from '@camphorvane/router';
-import type { AgreementContext, HostAgreement } from '@camphorvane/router';
+import type { CoordinationContext, HostCoordination } from '@camphorvane/router';
 import type {
   DecodeCommand,
   DecodeEvent,
   ModelEngine,
   PlainServer,
   PrefillCommand,
-  ServiceAnswer,
+  UpstreamResponse,
   ServiceCall,
   UpstreamError,
 } from '@camphorvane/upstream';
 import { err, errAsync, ok, okAsync } from 'neverthrow';
 import type { Result, ResultAsync } from 'neverthrow';
-import { SharedRates } from '../../src/agreement/SharedRates.ts';
+import { GossipRateGate } from '../../src/coordination/GossipRateGate.ts';
 import { LocalPlacer } from '../../src/placing/LocalPlacer.ts';
 import { CrashGuard } from '../../src/serving/CrashGuard.ts';
 import { serviceRetryGate } from '../../src/serving/retryGates.ts';
@@ -40,7 +40,7 @@
 export type CallScript = (
   call: ServiceCall,
   signal: AbortSignal,
-) => ResultAsync<ServiceAnswer, UpstreamError>;
+) => ResultAsync<UpstreamResponse, UpstreamError>;
 
 /** Scripts of the upstreams, and settings of the host. */
 export interface ForwardFleetOptions {
@@ -55,7 +55,7 @@
   readonly retrySlack?: number;
 }
 
-const LOAD: LoadSnapshot = {
+const LOAD: LoadReport = {
   ...{ role: 'decode', usedPieces: 0, memoryPieces: 10, running: 1, waiting: 0 },
   attempts: [],
 };
@@ -95,7 +95,7 @@
       drainGraceMs: 1_000,
       clock: this.clock,
       random: new RandomSource(1),
-      agreement: (context) => this.agreement(context),
+      coordination: (context) => this.agreement(context),
       engines: (cfg) => this.engine(cfg),
       servers: (cfg) => this.server(cfg),
       metrics: new Metrics(),
@@ -116,7 +116,7 @@
       path,
       headers: { 'x-id': 'r1' },
       body: Buffer.from('body'),
-      patienceMs: 2_000,
+      callerTimeoutMs: 2_000,
       work: { promptTokens: 100, maxTokens: 50, parts: [], lastPosition: undefined },
       ...overrides,
     };
@@ -210,11 +210,11 @@
     };
   }
 
-  private agreement({ clock, directory }: AgreementContext): HostAgreement {
+  private agreement({ clock, directory }: CoordinationContext): HostCoordination {
     const group = {
       members: () => [],
-      stewardOf: () => undefined,
-      maySteward: () => false,
+      coordinatorOf: () => undefined,
+      mayCoordinate: () => false,
       mayAct: () => true,
       waitToAct: async () => undefined,
       onChange: () => () => undefined,
@@ -239,19 +239,19 @@
         state: () => ({ version: 1 }),
       },
       group,
-      rates: new SharedRates(clock, { over: 0, slackTokens: 0, windowMs: 1_000 }),
-      repeats: serviceRetryGate(new ServiceRetryBudget(allowance, () => 1)),
+      rates: new GossipRateGate(clock, { over: 0, slackTokens: 0, windowMs: 1_000 }),
+      retryGate: serviceRetryGate(new ServiceRetryBudget(allowance, () => 1)),
       placer,
       slowStart: knowledge.slowStart,
-      crashes: new CrashGuard({ self: 'h', clock, group, suspicion: { minUpstreams: 3 } }),
+      crashGuard: new CrashGuard({ self: 'h', clock, group, suspicion: { minUpstreams: 3 } }),
       claims: undefined,
-      endsWithdrawn: false,
+      abortsOnKeyWithdrawal: false,
       start: () => undefined,
       beginLeaving: async () => undefined,
       leave: async () => undefined,
       stop: () => placer.stop(),
-      answer: async () => ({ type: 'ok' }),
-      getCoordinated: () => [],
+      handlePeerRequest: async () => ({ type: 'ok' }),
+      getCoordinatedModels: () => [],
       getEpoch: () => 0,
       dump: () => ({}),
     };
@@ -328,7 +328,7 @@
 }
 
 /** Answers a call with status 200. */
-export function answeredCall(): ResultAsync<ServiceAnswer, UpstreamError> {
+export function answeredCall(): ResultAsync<UpstreamResponse, UpstreamError> {
   return okAsync({ status: 200, headers: {}, body: Buffer.from('ok') });
 }
 
--- a/packages/router/tests/support/GossipFleet.ts
+++ b/packages/router/tests/support/GossipFleet.ts
@@ -1,11 +1,17 @@
 import type { Millis } from '@camphorvane/core';
 import { VirtualClock } from '@camphorvane/core';
-import { DistributedRateLimiter, DemandTracker, RoleChanges, InFlightTracker, PeerCounts } from '@camphorvane/decisions';
+import {
+  DistributedRateLimiter,
+  DemandTracker,
+  RoleChanges,
+  InFlightTracker,
+  PeerCounts,
+} from '@camphorvane/decisions';
 import type { RoleChange, InFlightLoad } from '@camphorvane/decisions';
 import type { DemandHint, HintLink, HostDigest, HostHint } from '@camphorvane/peer/hints';
-import { HostRoster } from '../../src/agreement/HostRoster.ts';
-import type { HostRecord } from '../../src/agreement/hostRecord.ts';
-import { PeerGossip } from '../../src/agreement/PeerGossip.ts';
+import { HostRoster } from '../../src/coordination/HostRoster.ts';
+import type { HostRecord } from '../../src/coordination/hostRecord.ts';
+import { PeerGossip } from '../../src/coordination/PeerGossip.ts';
 
 const NETWORK_DELAY_MS: Millis = 1;
 const TOLERANCE = { over: 0.1, slackTokens: 12_000, windowMs: 8_000 };
@@ -62,7 +68,7 @@
       const roster = new HostRoster(name, zoneOf(i));
       roster.update(records, 0);
       const rates = new DistributedRateLimiter(TOLERANCE);
-      rates.setSharers(roster.getOthers(), 0);
+      rates.setSharers(roster.getPeers(), 0);
       const host: GossipHost = {
         ...{ name, roster, rates, inFlight: new InFlightTracker(), digests: [], load: new Map() },
         ...{
@@ -132,7 +138,7 @@
         host.peerBacklog.receiveSum(backlogOf(digest.demand), heard, clock.now());
       },
     });
-    Object.assign(host, { recordStateChange: () => gossip.noteNews() });
+    Object.assign(host, { recordStateChange: () => gossip.recordStateChange() });
     const stop = new AbortController();
     this.stops.push(stop);
     gossip.start(stop.signal);
--- a/packages/router/tests/support/MemoryFleet.ts
+++ b/packages/router/tests/support/MemoryFleet.ts
@@ -11,7 +11,7 @@
   engineSettings,
   serviceSettings,
 } from '@camphorvane/stand-ins';
-import { groupAgreement, Host, Metrics } from '@camphorvane/router';
+import { groupCoordination, Host, Metrics } from '@camphorvane/router';
 
 export const TEAM_KEY = 'cvk_test_key_of_team_a';
 
@@ -96,7 +96,7 @@
     prompt: 'hello there',
     maxTokens: 20,
     class: 'lookup',
-    hopped: false,
+    forwardedByHost: false,
     ...given,
   };
   const events: CompletionEvent[] = [];
@@ -194,15 +194,15 @@
 
   /** Gets the host that currently coordinates the pool. */
   coordinatorOfPool(): Host {
-    const coordinator = this.hosts.find((host) => host.getCoordinated().includes('m'));
+    const coordinator = this.hosts.find((host) => host.getCoordinatedModels().includes('m'));
     if (coordinator === undefined) throw new Error('no host coordinates the pool');
     return coordinator;
   }
 
   /** Partitions a host from all other hosts; it still reaches the store and the engines. */
   partition(host: Host): void {
-    const name = host.getName();
-    this.hosts.forEach((other) => this.network.cut(name, other.getName()));
+    const name = host.getId();
+    this.hosts.forEach((other) => this.network.cut(name, other.getId()));
   }
 
   /** Advances the clock until a promise has settled. */
@@ -227,7 +227,7 @@
         headers: { 'idempotency-key': idempotencyKey },
         idempotencyKey,
         body: Buffer.from('batch 7'),
-        hopped: false,
+        forwardedByHost: false,
       },
       new AbortController().signal,
     );
@@ -272,7 +272,7 @@
     const host = new Host({
       identity,
       incarnation,
-      agreement: groupAgreement({
+      coordination: groupCoordination({
         group: 'g',
         groupSize: 9,
         fleetHosts: hostCount,
--- a/packages/router/tests/support/RoleFleet.ts
+++ b/packages/router/tests/support/RoleFleet.ts
@@ -68,8 +68,8 @@
         getEngine: (id) => ({ cfg: this.cfgOf(id), engine: this.engineOf(id) as never }),
       },
       lease: {
-        hold: async () => this.behavior.lease,
-        getFence: () => {
+        acquireOrRenew: async () => this.behavior.lease,
+        getFencingToken: () => {
           const { lease } = this.behavior;
           return lease.type === 'held' ? lease.fence : undefined;
         },
--- a/packages/router/tests/support/ChangingStore.ts
+++ b/packages/router/tests/support/WatchableMemoryStore.ts
@@ -5,10 +5,10 @@
 const UNAVAILABLE: PlatformError = { type: 'unavailable', message: 'store unavailable' };
 
 /** In-memory store that a test changes; a change of a kind ends the watches of that kind. */
-export class ChangingStore {
+export class WatchableMemoryStore {
   version = 1;
 
-  isAway = false;
+  isUnavailable = false;
 
   private objects: readonly StoredObject[] = [];
 
@@ -33,7 +33,7 @@
   asStore(): WatchableStore {
     const store: Pick<WatchableStore, 'snapshot' | 'watch'> = {
       snapshot: (kind) =>
-        this.isAway
+        this.isUnavailable
           ? new ResultAsync(Promise.resolve(err(UNAVAILABLE)))
           : okAsync({ objects: this.ofKind(kind), version: this.version }),
       watch: (kind, _after, _waitMs, signal) =>
--- a/packages/scenario/src/callers/Caller.ts
+++ b/packages/scenario/src/callers/Caller.ts
@@ -90,7 +90,7 @@
             prompt,
             maxTokens,
             class: work.class,
-            hopped: false,
+            forwardedByHost: false,
           },
           gone.signal,
         )
@@ -136,7 +136,7 @@
           headers: { 'content-type': 'application/json' },
           idempotencyKey: work.method === 'GET' ? undefined : `once-${id}`,
           body: Buffer.from(body),
-          hopped: false,
+          forwardedByHost: false,
         },
         gone.signal,
       );
--- a/packages/scenario/src/callers/HostChooser.ts
+++ b/packages/scenario/src/callers/HostChooser.ts
@@ -50,12 +50,12 @@
 
   private ask(team: TeamId): readonly HostId[] {
     const from = this.any();
-    const advice = this.slots.get(from)?.running?.host.backend.advise(keyOf(team));
+    const advice = this.slots.get(from)?.running?.host.backend.recommendHosts(keyOf(team));
     if (advice === undefined || advice.isErr()) return [from];
     const hosts = advice.value.hosts.map((host) => host.host);
     const at = this.clock.now();
     this.given.push({ at, from, hosts });
-    this.kept.set(team, { hosts, until: at + advice.value.keepForMs });
+    this.kept.set(team, { hosts, until: at + advice.value.maxAgeMs });
     return hosts;
   }
 
--- a/packages/scenario/src/callers/SendCollector.ts
+++ b/packages/scenario/src/callers/SendCollector.ts
@@ -1,6 +1,6 @@
 import { sha256Hex } from '@camphorvane/core';
 import type { Clock, HostId, Millis } from '@camphorvane/core';
-import type { CompletionEvent, ServiceReply } from '@camphorvane/caller';
+import type { CompletionEvent, ServiceResponse } from '@camphorvane/caller';
 import type { PlannedRequest, Send, SendOutcome } from './RequestLog.ts';
 
 /** Gathers what a caller sees of one send. */
@@ -53,7 +53,7 @@
   }
 
   /** Takes in a whole answer of a plain service. */
-  reply(reply: ServiceReply, body: string): SendOutcome {
+  reply(reply: ServiceResponse, body: string): SendOutcome {
     this.answers += 1;
     this.firstTokenAt = this.clock.now();
     this.lastTokenAt = this.clock.now();
--- a/packages/scenario/src/subject/routerSubject.ts
+++ b/packages/scenario/src/subject/routerSubject.ts
@@ -1,4 +1,4 @@
-import { groupAgreement, Host, Metrics } from '@camphorvane/router';
+import { groupCoordination, Host, Metrics } from '@camphorvane/router';
 import { RandomSource, sha256Hex } from '@camphorvane/core';
 import type { Clock, RoutingConfig } from '@camphorvane/core';
 import { applyConfig, readAcceptedRoot } from '@camphorvane/operator';
@@ -21,7 +21,7 @@
     drainGraceMs: DRAIN_GRACE_MS,
     clock,
     random,
-    agreement: groupAgreement({
+    coordination: groupCoordination({
       group: GROUP,
       groupSize: GROUP_SIZE,
       fleetHosts: GROUP_SIZE,
--- a/packages/scenario/src/world/LinkedEngine.ts
+++ b/packages/scenario/src/world/LinkedEngine.ts
@@ -1,5 +1,5 @@
-import { textOf } from '@camphorvane/core';
-import type { AttemptId, LoadSnapshot, UpstreamId } from '@camphorvane/core';
+import { getPromptText } from '@camphorvane/core';
+import type { AttemptId, LoadReport, UpstreamId } from '@camphorvane/core';
 import type { EngineCore } from '@camphorvane/stand-ins';
 import {
   DEFAULT_ENGINE_TIMEOUTS,
@@ -41,7 +41,7 @@
 
   /** Runs a prompt. */
   prefill(cmd: PrefillCommand, signal: AbortSignal): ResultAsync<PrefillResult, UpstreamError> {
-    this.log.dispatched(this.id, textOf(cmd.prompt) ?? '');
+    this.log.dispatched(this.id, getPromptText(cmd.prompt) ?? '');
     return this.link.exchange(signal, prefillTimeout(cmd, LIMITS), (far) =>
       this.core.prefill(cmd, far),
     );
@@ -59,12 +59,12 @@
   ): AsyncIterable<Result<DecodeEvent, UpstreamError>> {
     const { life } = this.link.near;
     const deadline = new ProgressDeadline(life, LIMITS.decodeProgressMs, signal);
-    const exchange = this.link.open(deadline.signal());
+    const exchange = this.link.open(deadline.getSignal());
     try {
       yield* readDecodeEvents(this.decodeBytes(cmd, exchange, deadline), cmd, deadline);
     } catch (thrown) {
       const known = thrown instanceof StreamFailure ? thrown.error : undefined;
-      yield err(known ?? toUpstreamError(thrown, deadline.stopReason()));
+      yield err(known ?? toUpstreamError(thrown, deadline.getAbortReason()));
     } finally {
       deadline.close();
       exchange.close();
@@ -77,7 +77,7 @@
   }
 
   /** Reads the lagging load report. */
-  load(): ResultAsync<LoadSnapshot, UpstreamError> {
+  load(): ResultAsync<LoadReport, UpstreamError> {
     return this.link.exchange(never(), LIMITS.controlMs, () => this.core.load());
   }
 
@@ -92,7 +92,7 @@
     exchange: Exchange,
     deadline: ProgressDeadline,
   ): AsyncIterable<Uint8Array> {
-    const stopped = rejectOnAbort(deadline.signal());
+    const stopped = rejectOnAbort(deadline.getSignal());
     await Promise.race([this.link.arrive(exchange), stopped]);
     const events = this.core.decode(cmd, exchange.signal)[Symbol.asyncIterator]();
     let item = await Promise.race([this.nextOver(exchange, events), stopped]);
--- a/packages/scenario/src/world/LinkedServer.ts
+++ b/packages/scenario/src/world/LinkedServer.ts
@@ -1,7 +1,12 @@
 import type { UpstreamId } from '@camphorvane/core';
 import { ATTEMPT_HEADER } from '@camphorvane/stand-ins';
 import type { ServiceCore } from '@camphorvane/stand-ins';
-import type { PlainServer, ServiceAnswer, ServiceCall, UpstreamError } from '@camphorvane/upstream';
+import type {
+  PlainServer,
+  UpstreamResponse,
+  ServiceCall,
+  UpstreamError,
+} from '@camphorvane/upstream';
 import { err, ok } from 'neverthrow';
 import type { ResultAsync } from 'neverthrow';
 import type { DispatchLog } from './DispatchLog.ts';
@@ -21,14 +26,14 @@
   }
 
   /** Runs one call; an answer to another attempt is a mismatch, as in the HTTP client. */
-  call(call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, UpstreamError> {
+  call(call: ServiceCall, signal: AbortSignal): ResultAsync<UpstreamResponse, UpstreamError> {
     this.log.dispatched(this.id, Buffer.from(call.body).toString('utf8'));
     return this.link
       .exchange(signal, call.timeoutMs, (far) => this.core.call(call, far))
       .andThen((answer) =>
         answer.headers[ATTEMPT_HEADER] === call.attempt
           ? ok(answer)
-          : err<ServiceAnswer, UpstreamError>({
+          : err<UpstreamResponse, UpstreamError>({
               type: 'mismatch',
               dispatched: true,
               message: `${this.id} answered another attempt`,
