--- a/packages/scenario/src/world/LinkedStore.ts
+++ b/packages/scenario/src/world/LinkedStore.ts
@@ -1,5 +1,5 @@
 import type {
-  Expected,
+  ExpectedVersion,
   HostEntry,
   HostRegistry,
   ObjectStore,
@@ -35,7 +35,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError> {
     return this.call(() => this.store.put(kind, name, value, expected));
   }
@@ -68,13 +68,13 @@
   }
 
   /** Announces the host. */
-  announce(entry: HostEntry): ResultAsync<void, PlatformError> {
-    return this.call(() => this.store.announce(entry));
+  register(entry: HostEntry): ResultAsync<void, PlatformError> {
+    return this.call(() => this.store.register(entry));
   }
 
   /** Takes the host off the list. */
-  withdraw(id: string): ResultAsync<void, PlatformError> {
-    return this.call(() => this.store.withdraw(id));
+  deregister(id: string): ResultAsync<void, PlatformError> {
+    return this.call(() => this.store.deregister(id));
   }
 
   private call<T>(
--- a/packages/scenario/src/world/spreadSeed.ts
+++ b/packages/scenario/src/world/spreadSeed.ts
@@ -1,4 +1,4 @@
-import { hashNumber } from '@camphorvane/core';
+import { hashToUint48 } from '@camphorvane/core';
 
 const SEEDS = 2 ** 31;
 
@@ -11,5 +11,5 @@
  * @returns A seed of 31 bits.
  */
 export function spreadSeed(seed: number, purpose: string): number {
-  return hashNumber(`${seed} ${purpose}`) % SEEDS;
+  return hashToUint48(`${seed} ${purpose}`) % SEEDS;
 }
--- a/packages/scenario/tests/support/NaiveHost.ts
+++ b/packages/scenario/tests/support/NaiveHost.ts
@@ -4,8 +4,8 @@
   CallerBackend,
   CompletionEvent,
   CompletionRequest,
-  HostAdvice,
-  ServiceReply,
+  HostRecommendation,
+  ServiceResponse,
   ServiceRequest,
 } from '@camphorvane/caller';
 import type { ModelEngine } from '@camphorvane/upstream';
@@ -84,11 +84,11 @@
     return `${this.edges.id}.${this.edges.starts}.${this.ids}`;
   }
 
-  advise(): Result<HostAdvice, Refusal> {
+  recommendHosts(): Result<HostRecommendation, Refusal> {
     const hosts = Array.from({ length: HOSTS }, (_, index) => `h${index + 1}`)
       .filter((host) => host !== this.edges.id || this.drainedAt === undefined)
       .map((host) => ({ host, zone: 'a', address: host }));
-    return ok({ hosts, keepForMs: POLL_MS });
+    return ok({ hosts, maxAgeMs: POLL_MS });
   }
 
   models(): Result<readonly string[], Refusal> {
@@ -124,7 +124,7 @@
     id: string,
     req: ServiceRequest,
     signal: AbortSignal,
-  ): Promise<Result<ServiceReply, Refusal>> {
+  ): Promise<Result<ServiceResponse, Refusal>> {
     const refusal = this.admit(req.key, 1);
     const service = this.config?.services.find((one) => one.id === req.service);
     const server = service?.servers[0];
--- a/packages/stand-ins/src/engine/EngineCore.ts
+++ b/packages/stand-ins/src/engine/EngineCore.ts
@@ -1,10 +1,10 @@
-import { estimateTokens, piecesFor, textOf } from '@camphorvane/core';
+import { estimateTokens, piecesFor, getPromptText } from '@camphorvane/core';
 import { err, ok, ResultAsync } from 'neverthrow';
 import type {
   AttemptId,
   Clock,
   EngineRole,
-  LoadSnapshot,
+  LoadReport,
   Millis,
   UpstreamId,
 } from '@camphorvane/core';
@@ -71,7 +71,7 @@
 
   private readonly inflight = new Map<AttemptId, AbortController>();
 
-  private reports: readonly { readonly at: Millis; readonly load: LoadSnapshot }[] = [];
+  private reports: readonly { readonly at: Millis; readonly load: LoadReport }[] = [];
 
   /**
    * @param settings - How the engine behaves while healthy.
@@ -126,7 +126,7 @@
   }
 
   /** Gets the true load, without the lag of {@link load}. */
-  currentLoad(): LoadSnapshot {
+  currentLoad(): LoadReport {
     return {
       role: this.role,
       usedPieces: this.kv.usedPieces(),
@@ -188,7 +188,7 @@
   }
 
   /** Reads the load as it was about `reportLagMs` ago. */
-  load(): ResultAsync<LoadSnapshot, UpstreamError> {
+  load(): ResultAsync<LoadReport, UpstreamError> {
     if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
     const now = this.clock.now();
     this.reports = [...this.reports, { at: now, load: this.currentLoad() }];
@@ -231,7 +231,7 @@
     signal: AbortSignal,
   ): Promise<Outcome<PrefillResult>> {
     if (signal.aborted) return this.interrupted(signal, false);
-    const prompt = textOf(cmd.prompt);
+    const prompt = getPromptText(cmd.prompt);
     if (prompt === undefined) return err(rejected('this engine takes text'));
     const promptTokens = estimateTokens(prompt + cmd.continuation);
     const cachedTokens = this.cache.use(prompt);
--- a/packages/stand-ins/src/engine/answer.ts
+++ b/packages/stand-ins/src/engine/answer.ts
@@ -1,4 +1,4 @@
-import { hashNumber, sha256Hex } from '@camphorvane/core';
+import { hashToUint48, sha256Hex } from '@camphorvane/core';
 import type { Tokens } from '@camphorvane/core';
 
 /** Characters of one output token; four bytes count as one token everywhere in the project. */
@@ -30,7 +30,7 @@
   const asked = /#tokens=(\d+)/.exec(prompt)?.[1];
   const natural =
     asked === undefined
-      ? SHORTEST_ANSWER + (hashNumber(prompt) % ANSWER_SPREAD)
+      ? SHORTEST_ANSWER + (hashToUint48(prompt) % ANSWER_SPREAD)
       : Math.max(1, Number(asked));
   return Math.min(natural, maxTokens);
 }
--- a/packages/stand-ins/src/platform/MemoryObjectStore.ts
+++ b/packages/stand-ins/src/platform/MemoryObjectStore.ts
@@ -1,7 +1,7 @@
 import { sleep } from '@camphorvane/core';
 import type { Clock, HostId, Millis } from '@camphorvane/core';
 import type {
-  Expected,
+  ExpectedVersion,
   HostEntry,
   HostRegistry,
   ObjectStore,
@@ -81,7 +81,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError> {
     return this.write(() => this.store(kind, name, value, expected));
   }
@@ -131,7 +131,7 @@
   }
 
   /** Takes in a host's heartbeat. */
-  announce(entry: HostEntry): ResultAsync<void, PlatformError> {
+  register(entry: HostEntry): ResultAsync<void, PlatformError> {
     return this.write(() => {
       this.announcedAt.set(entry.id, this.clock.now());
       const known = this.currentHosts().find((host) => host.id === entry.id);
@@ -141,7 +141,7 @@
   }
 
   /** Takes a host off the list at its own wish. */
-  withdraw(id: HostId): ResultAsync<void, PlatformError> {
+  deregister(id: HostId): ResultAsync<void, PlatformError> {
     return this.write(() => {
       this.removeHost(id);
       return ok(undefined);
@@ -182,7 +182,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): Result<StoredObject, PlatformError> {
     const text = JSON.stringify(value);
     if (text === undefined || Buffer.byteLength(text) > MAX_VALUE_BYTES) {
--- a/packages/stand-ins/src/platform/storeRoutes.ts
+++ b/packages/stand-ins/src/platform/storeRoutes.ts
@@ -1,4 +1,4 @@
-import type { Expected, HostEntry, PlatformError } from '@camphorvane/store';
+import type { ExpectedVersion, HostEntry, PlatformError } from '@camphorvane/store';
 import { Hono } from 'hono';
 import type { Context } from 'hono';
 import type { NodeEnv } from '../http/serveApp.ts';
@@ -27,7 +27,7 @@
 }
 
 /** Gets what a write expects from its conditional headers; undefined where they say nothing. */
-function expectedOf(c: Ctx): Expected | undefined {
+function expectedOf(c: Ctx): ExpectedVersion | undefined {
   if (c.req.header('if-none-match') === '*') return 'absent';
   const version = /^"(\d+)"$/.exec(c.req.header('if-match') ?? '')?.[1];
   return version === undefined ? undefined : Number(version);
@@ -95,14 +95,14 @@
   });
   app.put('/v1/hosts/:id', async (c) => {
     const entry = { ...(await c.req.json<HostEntry>()), id: c.req.param('id') };
-    const result = await store.announce(entry);
+    const result = await store.register(entry);
     return result.match(
       () => c.body(null, 204),
       (error) => fail(c, error),
     );
   });
   app.delete('/v1/hosts/:id', async (c) => {
-    const result = await store.withdraw(c.req.param('id'));
+    const result = await store.deregister(c.req.param('id'));
     return result.match(
       () => c.body(null, 204),
       (error) => fail(c, error),
--- a/packages/stand-ins/src/service/ServiceCore.ts
+++ b/packages/stand-ins/src/service/ServiceCore.ts
@@ -1,6 +1,11 @@
 import { sha256Hex } from '@camphorvane/core';
 import type { Clock, Millis, UpstreamId } from '@camphorvane/core';
-import type { PlainServer, ServiceAnswer, ServiceCall, UpstreamError } from '@camphorvane/upstream';
+import type {
+  PlainServer,
+  UpstreamResponse,
+  ServiceCall,
+  UpstreamError,
+} from '@camphorvane/upstream';
 import { err, ok, ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { EngineFaults } from '../engine/EngineFaults.ts';
@@ -102,14 +107,14 @@
   }
 
   /** Runs one call. */
-  call(call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, UpstreamError> {
+  call(call: ServiceCall, signal: AbortSignal): ResultAsync<UpstreamResponse, UpstreamError> {
     return new ResultAsync(this.run(call, signal));
   }
 
   private async run(
     call: ServiceCall,
     signal: AbortSignal,
-  ): Promise<Result<ServiceAnswer, UpstreamError>> {
+  ): Promise<Result<UpstreamResponse, UpstreamError>> {
     if (this.faultState.down) {
       return err({ type: 'unreachable', dispatched: false, message: 'connection refused' });
     }
@@ -147,7 +152,7 @@
     this.records.push(...Array.from({ length: this.settings.runsPerCall }, () => record));
   }
 
-  private answer(call: ServiceCall, body: string): ServiceAnswer {
+  private answer(call: ServiceCall, body: string): UpstreamResponse {
     const { crossedStreams } = this.faultState;
     const crossed = crossedStreams > 0;
     if (crossed) this.setFaults({ crossedStreams: crossedStreams - 1 });
--- a/packages/store/src/Backoff.ts
+++ b/packages/store/src/Backoff.ts
@@ -38,7 +38,7 @@
    *
    * @returns Milliseconds.
    */
-  next(): Millis {
+  nextDelayMs(): Millis {
     const bound = Math.min(this.options.maxMs, this.options.baseMs * 2 ** this.failures);
     if (bound < this.options.maxMs) this.failures += 1;
     return bound * (MIN_FRACTION + (1 - MIN_FRACTION) * this.random.next());
--- a/packages/store/src/BudgetedStore.ts
+++ b/packages/store/src/BudgetedStore.ts
@@ -1,7 +1,7 @@
 import type { ResultAsync } from 'neverthrow';
 import type { CallBudget, CallKind, CallPriority } from './CallBudget.ts';
 import type {
-  Expected,
+  ExpectedVersion,
   HostEntry,
   ObjectStore,
   ObjectVersion,
@@ -43,7 +43,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError> {
     return this.withBudget('write', () => this.store.put(kind, name, value, expected));
   }
@@ -85,7 +85,7 @@
   /** Rate limiting by the platform pauses all components of the host, not only the caller. */
   private recordError(error: PlatformError): PlatformError {
     if (error.type === 'over_budget') this.budget.pause(error.retryAfterMs);
-    if (error.type === 'unavailable') this.budget.noteTrouble();
+    if (error.type === 'unavailable') this.budget.recordFailure();
     return error;
   }
 }
--- a/packages/store/src/CallBudget.ts
+++ b/packages/store/src/CallBudget.ts
@@ -141,11 +141,11 @@
    */
   pause(retryAfterMs: Millis): void {
     this.pausedUntil = Math.max(this.pausedUntil, this.clock.now() + retryAfterMs);
-    this.noteTrouble();
+    this.recordFailure();
   }
 
   /** Restricts the host to its share, after a rate-limited call or one without a response. */
-  noteTrouble(): void {
+  recordFailure(): void {
     this.refill('read');
     this.refill('write');
     this.shareOnlyUntil = this.clock.now() + SHARE_ONLY_MS;
@@ -157,7 +157,7 @@
    * @param kind - Reads or writes.
    * @returns Number of calls that the highest priority could make now.
    */
-  left(kind: CallKind): number {
+  getRemaining(kind: CallKind): number {
     return this.refill(kind).tokens;
   }
 
--- a/packages/store/src/HostRegistry.ts
+++ b/packages/store/src/HostRegistry.ts
@@ -10,7 +10,7 @@
    * @param entry - The entry to list.
    * @returns Nothing, or the error of the platform.
    */
-  announce(entry: HostEntry): ResultAsync<void, PlatformError>;
+  register(entry: HostEntry): ResultAsync<void, PlatformError>;
 
   /**
    * Removes a host from the list; succeeds where it is not listed.
@@ -18,5 +18,5 @@
    * @param id - The host.
    * @returns Nothing, or the error of the platform.
    */
-  withdraw(id: HostId): ResultAsync<void, PlatformError>;
+  deregister(id: HostId): ResultAsync<void, PlatformError>;
 }
--- a/packages/store/src/HttpObjectStore.ts
+++ b/packages/store/src/HttpObjectStore.ts
@@ -5,7 +5,7 @@
 import type { z } from 'zod';
 import type { HostRegistry } from './HostRegistry.ts';
 import type {
-  Expected,
+  ExpectedVersion,
   HostEntry,
   ObjectStore,
   ObjectVersion,
@@ -13,7 +13,7 @@
   StoredObject,
   WatchBatch,
 } from './ObjectStore.ts';
-import { PlatformHttp, unavailable, type PlatformAnswer } from './PlatformHttp.ts';
+import { PlatformHttp, unavailable, type PlatformResponse } from './PlatformHttp.ts';
 import {
   conflictSchema,
   hostListSchema,
@@ -66,7 +66,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError> {
     return this.http
       .call({
@@ -127,7 +127,7 @@
   }
 
   /** {@inheritDoc HostRegistry.announce} */
-  announce(entry: HostEntry): ResultAsync<void, PlatformError> {
+  register(entry: HostEntry): ResultAsync<void, PlatformError> {
     return this.http
       .call({
         method: 'PUT',
@@ -139,7 +139,7 @@
   }
 
   /** {@inheritDoc HostRegistry.withdraw} */
-  withdraw(id: HostId): ResultAsync<void, PlatformError> {
+  deregister(id: HostId): ResultAsync<void, PlatformError> {
     return this.http
       .call({
         method: 'DELETE',
@@ -154,7 +154,7 @@
     await this.http.close();
   }
 
-  private read(path: string): ResultAsync<PlatformAnswer, PlatformError> {
+  private read(path: string): ResultAsync<PlatformResponse, PlatformError> {
     return this.http.call({ method: 'GET', path, timeoutMs: this.timeoutMs });
   }
 }
@@ -163,11 +163,11 @@
   return `/v1/objects/${encodeURIComponent(kind)}/${encodeURIComponent(name)}`;
 }
 
-function conditionHeaders(expected: Expected): Readonly<Record<string, string>> {
+function conditionHeaders(expected: ExpectedVersion): Readonly<Record<string, string>> {
   return expected === 'absent' ? { 'if-none-match': '*' } : { 'if-match': `"${expected}"` };
 }
 
-function requireSuccess(response: PlatformAnswer): Result<void, PlatformError> {
+function requireSuccess(response: PlatformResponse): Result<void, PlatformError> {
   return response.status >= 200 && response.status < 300 ? ok(undefined) : err(errorOf(response));
 }
 
@@ -175,7 +175,7 @@
  * Parses a response body. An invalid body counts as `unavailable`: like a lost response, it does not
  * tell whether a write took effect.
  */
-function parseBody<T>(response: PlatformAnswer, schema: z.ZodType<T>): Result<T, PlatformError> {
+function parseBody<T>(response: PlatformResponse, schema: z.ZodType<T>): Result<T, PlatformError> {
   return requireSuccess(response).andThen(() => {
     const parsed = schema.safeParse(response.body);
     return parsed.success
@@ -184,7 +184,7 @@
   });
 }
 
-function errorOf(response: PlatformAnswer): PlatformError {
+function errorOf(response: PlatformResponse): PlatformError {
   switch (response.status) {
     case 412: {
       const parsed = conflictSchema.safeParse(response.body ?? {});
--- a/packages/store/src/ObjectStore.ts
+++ b/packages/store/src/ObjectStore.ts
@@ -13,7 +13,7 @@
 }
 
 /** Precondition of a write: the current version, or that no object exists. */
-export type Expected = ObjectVersion | 'absent';
+export type ExpectedVersion = ObjectVersion | 'absent';
 
 /**
  * Why a call to the platform failed.
@@ -64,7 +64,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError>;
 
   /** Removes one object if its version matches `expected`. */
--- a/packages/store/src/PlatformHttp.ts
+++ b/packages/store/src/PlatformHttp.ts
@@ -17,7 +17,7 @@
 }
 
 /** A complete response of the platform. */
-export interface PlatformAnswer {
+export interface PlatformResponse {
   readonly status: number;
   /** Value of the `retry-after` header, in milliseconds. */
   readonly retryAfterMs: Millis;
@@ -81,7 +81,7 @@
    * @param call - The request.
    * @returns The response, or `unavailable` without one; a write may have taken effect then.
    */
-  call(call: PlatformCall): ResultAsync<PlatformAnswer, PlatformError> {
+  call(call: PlatformCall): ResultAsync<PlatformResponse, PlatformError> {
     if (call.signal?.aborted) return errAsync(unavailable('the call was aborted by its caller'));
     return new ResultAsync(this.run(call));
   }
@@ -91,7 +91,7 @@
     await this.dispatcher.destroy();
   }
 
-  private async run(call: PlatformCall): Promise<Result<PlatformAnswer, PlatformError>> {
+  private async run(call: PlatformCall): Promise<Result<PlatformResponse, PlatformError>> {
     const abort = new AbortController();
     const end = (): void => abort.abort();
     // A dead connection reports no error, so only this timer ends the call.
@@ -130,7 +130,7 @@
     });
   }
 
-  private async exchange(call: PlatformCall, signal: AbortSignal): Promise<PlatformAnswer> {
+  private async exchange(call: PlatformCall, signal: AbortSignal): Promise<PlatformResponse> {
     const hasBody = call.body !== undefined;
     const res = await request(`${this.baseUrl}${call.path}`, {
       method: call.method,
--- a/packages/store/src/claims/Claim.ts
+++ b/packages/store/src/claims/Claim.ts
@@ -28,7 +28,7 @@
 }
 
 /** A stored response, replayed to a caller that sends the call again. */
-export interface KeptAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
@@ -49,11 +49,11 @@
   /** The holder is gone without storing an outcome: the call may have run and is never retried. */
   | { readonly type: 'outcome_unknown'; readonly holder: ClaimHolder }
   /** The call has run; `answer` is absent where the response was too large to store. */
-  | { readonly type: 'finished'; readonly answer?: KeptAnswer }
+  | { readonly type: 'finished'; readonly answer?: StoredResponse }
   /** The key was used for another request. */
   | { readonly type: 'mismatch' }
   /** The platform was unavailable; this attempt dispatched nothing. */
   | { readonly type: 'unavailable'; readonly retryAfterMs: Millis };
 
 /** Known state of the host that holds a claim. */
-export type HolderState = 'live' | 'gone' | 'unknown';
+export type ClaimHolderState = 'live' | 'gone' | 'unknown';
--- a/packages/store/src/claims/ClaimSettler.ts
+++ b/packages/store/src/claims/ClaimFinalizer.ts
@@ -3,7 +3,7 @@
 import { Backoff } from '../Backoff.ts';
 import type { ObjectStore, ObjectVersion } from '../ObjectStore.ts';
 import type { Claim } from './Claim.ts';
-import { CLAIM_KIND, newRecord, readRecord, type ClaimRecord } from './claimRecord.ts';
+import { CLAIM_KIND, newClaimRecord, parseClaimRecord, type ClaimRecord } from './claimRecord.ts';
 
 const RETRY: { readonly baseMs: Millis; readonly maxMs: Millis } = { baseMs: 250, maxMs: 5000 };
 
@@ -21,7 +21,7 @@
  * Callers do not wait for it. While the platform is down no new claims are granted, so the backlog is
  * bounded by the calls that were running when the outage began.
  */
-export class ClaimSettler {
+export class ClaimFinalizer {
   private readonly store: ObjectStore;
 
   private readonly clock: Clock;
@@ -46,23 +46,23 @@
   }
 
   /** Gets the number of claims whose outcome or removal is not stored yet. */
-  getPending(): number {
+  getPendingCount(): number {
     return this.tasks.size;
   }
 
   /** Waits until nothing is pending, or until {@link stop}. */
-  async drained(): Promise<void> {
+  async whenDrained(): Promise<void> {
     await Promise.all(this.tasks);
   }
 
   /** Stops the retries; pending claims stay as they are and count as having an unknown outcome. */
   async stop(): Promise<void> {
     this.stopped.abort();
-    await this.drained();
+    await this.whenDrained();
   }
 
   /** Stores the outcome of a claimed call. */
-  finish(claim: Claim, record: ClaimRecord): Promise<void> {
+  storeOutcome(claim: Claim, record: ClaimRecord): Promise<void> {
     return this.track(this.storeFinished(claim, record));
   }
 
@@ -102,7 +102,7 @@
     return this.retry(async () => {
       const found = await this.store.get(CLAIM_KIND, name);
       if (found.isErr()) return false;
-      if (readRecord(found.value?.value)?.attempt !== attempt) {
+      if (parseClaimRecord(found.value?.value)?.attempt !== attempt) {
         readsWithoutClaim += 1;
         return readsWithoutClaim >= RELEASE_CHECKS;
       }
@@ -114,12 +114,12 @@
   private async retry(attempt: () => Promise<boolean>): Promise<void> {
     const backoff = new Backoff(this.random, RETRY);
     while (!this.stopped.signal.aborted && !(await attempt())) {
-      await sleep(this.clock, backoff.next(), this.stopped.signal);
+      await sleep(this.clock, backoff.nextDelayMs(), this.stopped.signal);
     }
   }
 }
 
 /** Gets the record with which a claim was stored. */
-export function recordOf(claim: Claim): ClaimRecord {
-  return newRecord(claim.request, claim.claimedAt);
+export function claimedRecord(claim: Claim): ClaimRecord {
+  return newClaimRecord(claim.request, claim.claimedAt);
 }
--- a/packages/store/src/claims/ClaimSweeper.ts
+++ b/packages/store/src/claims/ClaimSweeper.ts
@@ -1,6 +1,6 @@
 import { sleep, type Clock, type Millis, type RandomSource } from '@camphorvane/core';
 import type { ObjectStore, StoredObject } from '../ObjectStore.ts';
-import { CLAIM_KIND, readRecord } from './claimRecord.ts';
+import { CLAIM_KIND, parseClaimRecord } from './claimRecord.ts';
 
 /** Settings of {@link ClaimSweeper}. */
 export interface ClaimSweeperOptions {
@@ -99,7 +99,7 @@
 
   /** Claims of calls that may be running, or whose outcome is unknown, never expire. */
   private isExpired(object: StoredObject): boolean {
-    const record = readRecord(object.value);
+    const record = parseClaimRecord(object.value);
     if (record?.state !== 'finished') return false;
     return this.options.clock.wall() - record.claimedAt > this.options.retentionMs;
   }
--- a/packages/store/src/claims/IdempotencyClaims.ts
+++ b/packages/store/src/claims/IdempotencyClaims.ts
@@ -8,16 +8,22 @@
   type RandomSource,
 } from '@camphorvane/core';
 import type { ObjectStore, PlatformError, StoredObject } from '../ObjectStore.ts';
-import type { Claim, ClaimOutcome, ClaimRequest, HolderState, KeptAnswer } from './Claim.ts';
-import { ClaimSettler, recordOf } from './ClaimSettler.ts';
+import type {
+  Claim,
+  ClaimOutcome,
+  ClaimRequest,
+  ClaimHolderState,
+  StoredResponse,
+} from './Claim.ts';
+import { ClaimFinalizer, claimedRecord } from './ClaimFinalizer.ts';
 import {
   CLAIM_KIND,
-  claimName,
-  finishedRecord,
-  holderOf,
-  keptAnswer,
-  newRecord,
-  readRecord,
+  claimObjectName,
+  finishedClaimRecord,
+  claimHolder,
+  storedResponse,
+  newClaimRecord,
+  parseClaimRecord,
   type ClaimRecord,
 } from './claimRecord.ts';
 
@@ -28,11 +34,11 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Gets the known state of the host that holds a claim; `unknown` where absent. */
-  readonly holderState?: (host: HostId, incarnation: Incarnation) => HolderState;
+  readonly holderState?: (host: HostId, incarnation: Incarnation) => ClaimHolderState;
   /** How long a finished claim is kept, in milliseconds. */
   readonly retentionMs?: Millis;
   /** Maximum time that a caller waits for its claim, in milliseconds. */
-  readonly deadlineMs?: Millis;
+  readonly claimTimeoutMs?: Millis;
 }
 
 /**
@@ -67,7 +73,7 @@
 export class IdempotencyClaims {
   private readonly options: IdempotencyClaimsOptions;
 
-  private readonly settler: ClaimSettler;
+  private readonly finalizer: ClaimFinalizer;
 
   /** Attempts with a write that got no response. */
   private readonly unanswered = new Set<AttemptId>();
@@ -81,17 +87,17 @@
   /** @param options - The platform, and the known states of other hosts. */
   constructor(options: IdempotencyClaimsOptions) {
     this.options = options;
-    this.settler = new ClaimSettler(options.store, options.clock, options.random);
+    this.finalizer = new ClaimFinalizer(options.store, options.clock, options.random);
   }
 
   /** Gets the number of claims of this host that are running or whose outcome is not stored yet. */
-  getOpen(): number {
+  getOpenCount(): number {
     return this.open.size;
   }
 
   /** Gets the number of outcomes and removals that are not stored yet. */
-  getPending(): number {
-    return this.settler.getPending();
+  getPendingCount(): number {
+    return this.finalizer.getPendingCount();
   }
 
   /**
@@ -101,10 +107,10 @@
    * @returns `claimed` where this attempt, and no other, may dispatch the call.
    */
   async claim(req: ClaimRequest): Promise<ClaimOutcome> {
-    const name = claimName(req);
+    const name = claimObjectName(req);
     const own = this.open.get(name);
     if (own !== undefined) return this.outcomeFor(own.record, req);
-    const record = newRecord(req, this.options.clock.wall());
+    const record = newClaimRecord(req, this.options.clock.wall());
     this.open.set(name, { record });
     const outcome = await this.claimInPlatform(name, record, req);
     if (outcome.type !== 'claimed') this.open.delete(name);
@@ -118,11 +124,11 @@
    * @param answer - The whole response, stored for callers that send the call again.
    * @returns A promise that resolves when the outcome is stored.
    */
-  async finish(claim: Claim, answer: KeptAnswer): Promise<void> {
-    const record = finishedRecord(recordOf(claim), answer);
+  async finish(claim: Claim, answer: StoredResponse): Promise<void> {
+    const record = finishedClaimRecord(claimedRecord(claim), answer);
     this.unanswered.delete(claim.request.attempt);
     this.open.set(claim.name, { record });
-    await this.settler.finish(claim, record);
+    await this.finalizer.storeOutcome(claim, record);
     this.open.delete(claim.name);
   }
 
@@ -132,10 +138,10 @@
    * @param claim - The claim.
    * @returns A promise that resolves when the claim is removed, or its removal runs in the background.
    */
-  async abandon(claim: Claim): Promise<void> {
+  async releaseUndispatched(claim: Claim): Promise<void> {
     const { attempt } = claim.request;
     if (this.unanswered.delete(attempt)) void this.release(claim.name, attempt);
-    else await this.settler.remove(claim);
+    else await this.finalizer.remove(claim);
     this.open.delete(claim.name);
   }
 
@@ -146,22 +152,22 @@
    * @param claim - The claim.
    * @returns A promise that resolves when the outcome is stored.
    */
-  async leaveUnknown(claim: Claim): Promise<void> {
-    const record: ClaimRecord = { ...recordOf(claim), state: 'unknown' };
+  async markOutcomeUnknown(claim: Claim): Promise<void> {
+    const record: ClaimRecord = { ...claimedRecord(claim), state: 'unknown' };
     this.unanswered.delete(claim.request.attempt);
     this.open.set(claim.name, { record });
-    await this.settler.finish(claim, record);
+    await this.finalizer.storeOutcome(claim, record);
     this.open.delete(claim.name);
   }
 
   /** Waits until all outcomes are stored; a draining host calls it before it stops. */
-  drained(): Promise<void> {
-    return this.settler.drained();
+  whenDrained(): Promise<void> {
+    return this.finalizer.whenDrained();
   }
 
   /** Stops storing outcomes; those not stored yet stay unknown. */
   stop(): Promise<void> {
-    return this.settler.stop();
+    return this.finalizer.stop();
   }
 
   private async claimInPlatform(
@@ -170,7 +176,7 @@
     req: ClaimRequest,
   ): Promise<ClaimOutcome> {
     const { clock } = this.options;
-    const until = clock.now() + (this.options.deadlineMs ?? DEFAULT_DEADLINE_MS);
+    const until = clock.now() + (this.options.claimTimeoutMs ?? DEFAULT_DEADLINE_MS);
     while (clock.now() < until) {
       const put = await this.options.store.put(CLAIM_KIND, name, record, 'absent');
       if (put.isErr() && put.error.type === 'unavailable') this.unanswered.add(record.attempt);
@@ -194,7 +200,7 @@
 
   private async release(name: string, attempt: AttemptId): Promise<void> {
     this.releasing.add(attempt);
-    await this.settler.release(name, attempt);
+    await this.finalizer.release(name, attempt);
     this.releasing.delete(attempt);
   }
 
@@ -236,7 +242,7 @@
     record: ClaimRecord,
     req: ClaimRequest,
   ): Promise<CallOutcome> {
-    const stored = readRecord(object.value);
+    const stored = parseClaimRecord(object.value);
     if (stored === undefined) {
       return { type: 'in_use', holder: { attempt: '', host: '', incarnation: '' } };
     }
@@ -254,8 +260,8 @@
 
   private outcomeFor(stored: ClaimRecord, req: ClaimRequest): ClaimOutcome {
     if (stored.requestDigest !== req.requestDigest) return { type: 'mismatch' };
-    if (stored.state === 'finished') return { type: 'finished', answer: keptAnswer(stored) };
-    const holder = holderOf(stored);
+    if (stored.state === 'finished') return { type: 'finished', answer: storedResponse(stored) };
+    const holder = claimHolder(stored);
     return this.isGone(stored, req)
       ? { type: 'outcome_unknown', holder }
       : { type: 'in_use', holder };
@@ -266,7 +272,7 @@
     const { host, incarnation, state } = stored;
     if (state === 'unknown') return true;
     const isOwn = host === req.host && incarnation === req.incarnation;
-    if (isOwn) return this.open.get(claimName(req))?.record.attempt !== stored.attempt;
+    if (isOwn) return this.open.get(claimObjectName(req))?.record.attempt !== stored.attempt;
     return this.options.holderState?.(host, incarnation) === 'gone';
   }
 
--- a/packages/store/src/claims/claimRecord.ts
+++ b/packages/store/src/claims/claimRecord.ts
@@ -1,6 +1,6 @@
 import { sha256Hex, type Millis } from '@camphorvane/core';
 import * as z from 'zod';
-import type { ClaimHolder, ClaimRequest, KeptAnswer } from './Claim.ts';
+import type { ClaimHolder, ClaimRequest, StoredResponse } from './Claim.ts';
 
 /** Kind of the objects that store claims. */
 export const CLAIM_KIND = 'claim';
@@ -9,7 +9,7 @@
  * Maximum body of a stored response, in bytes. Responses of certificate and reservation calls have a
  * few kilobytes; larger ones are not replayed, so that claims can't fill the platform or a host.
  */
-export const MAX_KEPT_BYTES = 16 * 1024;
+export const MAX_STORED_RESPONSE_BYTES = 16 * 1024;
 
 const schema = z.object({
   team: z.string(),
@@ -41,7 +41,7 @@
  * @param req - The call to claim.
  * @returns 64 hexadecimal characters.
  */
-export function claimName(req: ClaimRequest): string {
+export function claimObjectName(req: ClaimRequest): string {
   return sha256Hex(JSON.stringify([req.team, req.service, req.route, req.key]));
 }
 
@@ -52,7 +52,7 @@
  * @param claimedAt - Wall clock time of the claim.
  * @returns The record, without the caller's key.
  */
-export function newRecord(req: ClaimRequest, claimedAt: Millis): ClaimRecord {
+export function newClaimRecord(req: ClaimRequest, claimedAt: Millis): ClaimRecord {
   const { team, service, route, requestDigest, attempt, host, incarnation } = req;
   return {
     team,
@@ -74,8 +74,8 @@
  * @param answer - The response; omitted from the record where its body is too large.
  * @returns The record to store.
  */
-export function finishedRecord(record: ClaimRecord, answer: KeptAnswer): ClaimRecord {
-  if (answer.body.length > MAX_KEPT_BYTES) return { ...record, state: 'finished' };
+export function finishedClaimRecord(record: ClaimRecord, answer: StoredResponse): ClaimRecord {
+  if (answer.body.length > MAX_STORED_RESPONSE_BYTES) return { ...record, state: 'finished' };
   const { status, headers, body } = answer;
   const bodyBase64 = Buffer.from(body).toString('base64');
   return { ...record, state: 'finished', answer: { status, headers, bodyBase64 } };
@@ -87,19 +87,19 @@
  * @param value - The object's value.
  * @returns The record, or undefined where the value does not match the schema.
  */
-export function readRecord(value: unknown): ClaimRecord | undefined {
+export function parseClaimRecord(value: unknown): ClaimRecord | undefined {
   const parsed = schema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
 }
 
 /** Gets the response stored in a record. */
-export function keptAnswer(record: ClaimRecord): KeptAnswer | undefined {
+export function storedResponse(record: ClaimRecord): StoredResponse | undefined {
   if (record.answer === undefined) return undefined;
   const { status, headers, bodyBase64 } = record.answer;
   return { status, headers, body: Buffer.from(bodyBase64, 'base64') };
 }
 
 /** Gets the holder of a claim. */
-export function holderOf(record: ClaimRecord): ClaimHolder {
+export function claimHolder(record: ClaimRecord): ClaimHolder {
   return { attempt: record.attempt, host: record.host, incarnation: record.incarnation };
 }
--- a/packages/store/src/config/ChunkReader.ts
+++ b/packages/store/src/config/ChunkReader.ts
@@ -2,7 +2,7 @@
 import { ResultAsync, err, ok, type Result } from 'neverthrow';
 import type { ObjectStore, PlatformError, StoredObject } from '../ObjectStore.ts';
 import { CHUNK_KIND } from './ConfigRoot.ts';
-import { blobSchema } from './configSchema.ts';
+import { storedTextSchema } from './configSchema.ts';
 
 /** Chunk texts by digest. */
 export type ChunkTexts = ReadonlyMap<string, string>;
@@ -81,7 +81,7 @@
 }
 
 function verifiedText(object: StoredObject): string | undefined {
-  const blob = blobSchema.safeParse(object.value);
+  const blob = storedTextSchema.safeParse(object.value);
   if (!blob.success) return undefined;
   return sha256Hex(blob.data.text) === object.name ? blob.data.text : undefined;
 }
--- a/packages/store/src/config/ConfigFollower.ts
+++ b/packages/store/src/config/ConfigFollower.ts
@@ -8,9 +8,9 @@
 import { Backoff } from '../Backoff.ts';
 import type { ObjectStore, ObjectVersion, StoredObject, WatchBatch } from '../ObjectStore.ts';
 import { ChunkReader } from './ChunkReader.ts';
-import { ConfigAssembly } from './ConfigAssembly.ts';
+import { ConfigPartCache } from './ConfigPartCache.ts';
 import { NO_PEERS, type ConfigPeers } from './ConfigPeers.ts';
-import { CONFIG_KIND, ROOT_NAME, readRoot, type ConfigRoot } from './ConfigRoot.ts';
+import { CONFIG_KIND, ROOT_NAME, parseRoot, type ConfigRoot } from './ConfigRoot.ts';
 
 /** Settings of {@link ConfigFollower}. */
 export interface ConfigFollowerOptions {
@@ -84,7 +84,7 @@
 
   private readonly reader: ChunkReader;
 
-  private readonly partCache = new ConfigAssembly();
+  private readonly partCache = new ConfigPartCache();
 
   private readonly backoff: Backoff;
 
@@ -201,7 +201,7 @@
    * @param version - The maximum of the members' known versions.
    * @param at - When the first of them was queried, on this host's monotonic clock.
    */
-  noteMajorityConfirmed(version: ObjectVersion, at: Millis): void {
+  recordMajorityVersion(version: ObjectVersion, at: Millis): void {
     this.known = Math.max(this.known, version);
     this.confirm(at);
     if (this.isBehind()) this.round.abort();
@@ -226,7 +226,7 @@
         this.backoff.reset();
       } else {
         await this.followPeers();
-        await sleep(this.options.clock, this.backoff.next(), this.stopped.signal);
+        await sleep(this.options.clock, this.backoff.nextDelayMs(), this.stopped.signal);
       }
     }
   }
@@ -285,7 +285,7 @@
     const newest = this.pending?.object.version ?? this.active?.config.version ?? 0;
     if (object.version <= newest) return;
     this.known = Math.max(this.known, object.version);
-    const root = readRoot(object.value);
+    const root = parseRoot(object.value);
     if (root === undefined) this.problem = `format of version ${object.version} is not understood`;
     else this.pending = { object, root };
   }
@@ -308,7 +308,7 @@
 
   /** Peers come first: they have nearly all parts, and the platform's rate limits do not scale. */
   private async fetchFromPeers(root: ConfigRoot): Promise<void> {
-    const missing = this.partCache.missing(root.manifest);
+    const missing = this.partCache.getMissing(root.manifest);
     let next = 0;
     let isFetched = true;
     // Stops at the first part that no peer has: each further request could time out.
@@ -320,7 +320,7 @@
   }
 
   private async fetchFromPlatform(root: ConfigRoot): Promise<boolean> {
-    const missing = this.partCache.missing(root.manifest);
+    const missing = this.partCache.getMissing(root.manifest);
     if (missing.length === 0) return true;
     const texts = await this.reader.read(missing);
     if (texts.isErr()) return this.fail(`reading parts failed: ${texts.error.type}`);
--- a/packages/store/src/config/ConfigPart.ts
+++ b/packages/store/src/config/ConfigPart.ts
@@ -1,5 +1,5 @@
 import {
-  hashNumber,
+  hashToUint48,
   type PoolConfig,
   type RoutingConfig,
   type ServiceConfig,
@@ -43,7 +43,7 @@
  * since another number changes every chunk of the teams at once.
  * @returns A power of two.
  */
-export function bucketsFor(teams: number, current?: number): number {
+export function bucketCountFor(teams: number, current?: number): number {
   const ideal = 2 ** Math.ceil(Math.log2(Math.max(1, teams / TEAMS_PER_BUCKET)));
   const best = Math.min(MAX_BUCKETS, ideal);
   const isCloseEnough = current !== undefined && best <= current * 4 && current <= best * 4;
@@ -100,7 +100,7 @@
 function teamParts(teams: readonly TeamConfig[], buckets: number): readonly NamedPart[] {
   const byBucket = new Map<number, TeamConfig[]>();
   teams.forEach((team) => {
-    const bucket = Math.floor((hashNumber(team.id) / HASH_RANGE) * buckets);
+    const bucket = Math.floor((hashToUint48(team.id) / HASH_RANGE) * buckets);
     const list = byBucket.get(bucket);
     if (list === undefined) byBucket.set(bucket, [team]);
     else list.push(team);
--- a/packages/store/src/config/ConfigAssembly.ts
+++ b/packages/store/src/config/ConfigPartCache.ts
@@ -1,6 +1,6 @@
 import type { RoutingConfig } from '@camphorvane/core';
 import { assembleConfig, type ConfigPart } from './ConfigPart.ts';
-import { readPart, type ConfigManifest } from './ConfigRoot.ts';
+import { parsePart, type ConfigManifest } from './ConfigRoot.ts';
 
 interface CachedPart {
   readonly text: string;
@@ -8,7 +8,7 @@
 }
 
 /** A cache of configuration parts by digest; unchanged parts keep their object identity. */
-export class ConfigAssembly {
+export class ConfigPartCache {
   private cached = new Map<string, CachedPart>();
 
   /** Gets the number of cached parts. */
@@ -27,7 +27,7 @@
    * @param manifest - The manifest.
    * @returns The digests of the parts.
    */
-  missing(manifest: ConfigManifest): readonly string[] {
+  getMissing(manifest: ConfigManifest): readonly string[] {
     return manifest.parts.map((part) => part.digest).filter((digest) => !this.cached.has(digest));
   }
 
@@ -39,7 +39,7 @@
    * @returns False where the text has another digest or can't be parsed; it is not added then.
    */
   add(digest: string, text: string): boolean {
-    const part = readPart(digest, text);
+    const part = parsePart(digest, text);
     if (part === undefined) return false;
     this.cached.set(digest, { text, part });
     return true;
--- a/packages/store/src/config/ConfigRoot.ts
+++ b/packages/store/src/config/ConfigRoot.ts
@@ -1,7 +1,7 @@
 import { sha256Hex, type RoutingConfig } from '@camphorvane/core';
 import type { z } from 'zod';
 import type { ConfigPart } from './ConfigPart.ts';
-import { bucketsFor, splitConfig } from './ConfigPart.ts';
+import { bucketCountFor, splitConfig } from './ConfigPart.ts';
 import { manifestSchema, partSchema, rootSchema } from './configSchema.ts';
 
 /** Kind of the root object; a conditional update of it accepts a configuration. */
@@ -44,7 +44,7 @@
  * @returns The chunks and their manifest; deterministic for the same configuration and buckets.
  */
 export function chunkConfig(config: RoutingConfig, currentBuckets?: number): ChunkedConfig {
-  const buckets = bucketsFor(config.teams.length, currentBuckets);
+  const buckets = bucketCountFor(config.teams.length, currentBuckets);
   const chunks = splitConfig(config, buckets).map(({ name, part }) => {
     const text = stableJson(part);
     return { name, digest: sha256Hex(text), bytes: Buffer.byteLength(text), text };
@@ -74,7 +74,7 @@
  * @param text - The text, from the platform or from a peer.
  * @returns The part, or undefined where the digest differs or the text can't be parsed.
  */
-export function readPart(digest: string, text: string): ConfigPart | undefined {
+export function parsePart(digest: string, text: string): ConfigPart | undefined {
   if (sha256Hex(text) !== digest) return undefined;
   const parsed = partSchema.safeParse(parseJson(text));
   return parsed.success ? parsed.data : undefined;
@@ -86,7 +86,7 @@
  * @param value - The value of the stored object.
  * @returns The root, or undefined where the value does not match the schema.
  */
-export function readRoot(value: unknown): ConfigRoot | undefined {
+export function parseRoot(value: unknown): ConfigRoot | undefined {
   const parsed = rootSchema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
 }
@@ -97,7 +97,7 @@
  * @param manifest - The manifest.
  * @returns Deterministic JSON.
  */
-export function manifestText(manifest: ConfigManifest): string {
+export function serializeManifest(manifest: ConfigManifest): string {
   return stableJson(manifest);
 }
 
@@ -108,7 +108,7 @@
  * @param text - The text.
  * @returns The manifest, or undefined where the digest differs or the text can't be parsed.
  */
-export function readManifest(digest: string, text: string): ConfigManifest | undefined {
+export function parseManifest(digest: string, text: string): ConfigManifest | undefined {
   if (sha256Hex(text) !== digest) return undefined;
   const parsed = manifestSchema.safeParse(parseJson(text));
   return parsed.success ? parsed.data : undefined;
--- a/packages/store/src/config/KeyRing.ts
+++ b/packages/store/src/config/KeyRing.ts
@@ -69,7 +69,7 @@
    * @param team - The team from {@link lookup}.
    * @returns False once the key was withdrawn or moved to another team.
    */
-  isInForce(digest: string, team: TeamId): boolean {
+  isActive(digest: string, team: TeamId): boolean {
     return this.owners.get(digest)?.team.id === team;
   }
 
@@ -86,7 +86,7 @@
       ),
     );
     const removed = [...before.values()]
-      .filter(({ digest, team }) => !this.isInForce(digest, team.id))
+      .filter(({ digest, team }) => !this.isActive(digest, team.id))
       .map(({ digest, team }) => ({ digest, team: team.id }));
     this.recordWithdrawn(removed);
     if (removed.length > 0) this.listeners.forEach((listener) => listener(removed));
--- a/packages/store/src/config/configSchema.ts
+++ b/packages/store/src/config/configSchema.ts
@@ -93,4 +93,4 @@
 });
 
 /** Schema of a stored chunk or manifest. */
-export const blobSchema = z.object({ text: z.string(), touchedAt: z.number() });
+export const storedTextSchema = z.object({ text: z.string(), touchedAt: z.number() });
--- a/packages/store/src/follow/Deployment.ts
+++ b/packages/store/src/follow/Deployment.ts
@@ -73,8 +73,8 @@
   readonly leaseKind: string;
 
   /** Parses the configuration, or gets what is wrong with it. */
-  readConfig(object: StoredObject): Result<DeployedConfig, string>;
+  parseConfig(object: StoredObject): Result<DeployedConfig, string>;
 
   /** Parses a server record; undefined for an object that describes no usable server. */
-  readServer(object: StoredObject): ServerRecord | undefined;
+  parseServer(object: StoredObject): ServerRecord | undefined;
 }
--- a/packages/store/src/follow/KindFollower.ts
+++ b/packages/store/src/follow/KindFollower.ts
@@ -5,10 +5,10 @@
 import type { WatchableStore } from './WatchableStore.ts';
 
 /** The local copy of a kind after a successful read or watch. */
-export interface FollowedKind {
+export interface KindCopy {
   readonly objects: ReadonlyMap<string, StoredObject>;
   /** Milliseconds for which the store was unavailable before this response; 0 in steady state. */
-  readonly awayMs: Millis;
+  readonly outageMs: Millis;
 }
 
 /**
@@ -28,15 +28,15 @@
   /** Gets the current mode; `watch` where absent. */
   readonly mode?: () => FollowMode;
   /** Gets the poll interval in milliseconds while no peer reports a newer version. */
-  readonly pollMs?: () => Millis;
+  readonly pollIntervalMs?: () => Millis;
   /** Called after each successful read or watch. */
-  readonly onRound: (kind: FollowedKind) => void;
+  readonly onSync: (kind: KindCopy) => void;
   /** Called when the store becomes unavailable, with the reason, and when it is available again. */
-  readonly onStore?: (state: 'lost' | 'regained', reason: string) => void;
+  readonly onStoreState?: (state: 'lost' | 'regained', reason: string) => void;
 }
 
 /** Poll interval in milliseconds of a host that gets no versions from peers. */
-export const LEAST_POLL_MS: Millis = 2_000;
+export const MIN_POLL_INTERVAL_MS: Millis = 2_000;
 
 /** Milliseconds between two cheap reads while they lag behind a version that a peer reported. */
 const CATCH_UP_MS: Millis = 200;
@@ -97,7 +97,7 @@
   }
 
   /** Gets when the store last responded, on the host's monotonic clock. */
-  getAnsweredAt(): Millis {
+  getLastResponseAt(): Millis {
     return this.answeredAt;
   }
 
@@ -107,12 +107,12 @@
   }
 
   /** Gets the version of the last known change of this kind; 0 before the first response. */
-  getChangedAt(): ObjectVersion {
+  getLastChangeVersion(): ObjectVersion {
     return this.changedAt;
   }
 
   /** Records a version that a peer reported; one that is newer than this copy is fetched soon. */
-  noteNewer(version: ObjectVersion): void {
+  receiveVersion(version: ObjectVersion): void {
     if (version <= this.reportedVersion) return;
     this.reportedVersion = version;
     if (version > this.getVersion()) this.wake();
@@ -125,7 +125,7 @@
       if (problem !== undefined && !signal.aborted) {
         this.after = undefined;
         this.recordOutage(problem);
-        await sleep(this.options.clock, this.backoff.next(), signal);
+        await sleep(this.options.clock, this.backoff.nextDelayMs(), signal);
       }
     }
   }
@@ -149,7 +149,7 @@
   /** Waits for the poll interval or a version reported by a peer, then reads until caught up. */
   private async poll(signal: AbortSignal): Promise<string | undefined> {
     this.wake = () => this.pause.interrupt();
-    await this.pause.wait(this.options.pollMs?.() ?? LEAST_POLL_MS, signal);
+    await this.pause.wait(this.options.pollIntervalMs?.() ?? MIN_POLL_INTERVAL_MS, signal);
     let attempts = 0;
     let problem = await this.readAll('any');
     while (problem === undefined && this.reportedVersion > this.getVersion() && !signal.aborted) {
@@ -211,19 +211,19 @@
 
   private recordResponse(): void {
     const now = this.options.clock.now();
-    const awayMs = this.isUnavailable ? now - this.answeredAt : 0;
+    const outageMs = this.isUnavailable ? now - this.answeredAt : 0;
     this.answeredAt = now;
     this.backoff.reset();
     if (this.isUnavailable)
-      this.options.onStore?.('regained', `unavailable for ${Math.round(awayMs)} ms`);
+      this.options.onStoreState?.('regained', `unavailable for ${Math.round(outageMs)} ms`);
     this.isUnavailable = false;
-    this.options.onRound({ objects: this.objects, awayMs });
+    this.options.onSync({ objects: this.objects, outageMs });
   }
 
   private recordOutage(reason: string): void {
     if (this.isUnavailable) return;
     this.isUnavailable = true;
-    this.options.onStore?.('lost', reason);
+    this.options.onStoreState?.('lost', reason);
   }
 }
 
--- a/packages/store/src/follow/OwnRecord.ts
+++ b/packages/store/src/follow/SingleWriterObject.ts
@@ -2,7 +2,7 @@
 import type { WatchableStore } from './WatchableStore.ts';
 
 /** An object that only one host writes, under the host's own name. */
-export class OwnRecord {
+export class SingleWriterObject {
   private version: ObjectVersion | undefined;
 
   /**
--- a/packages/store/src/lease/StoreLease.ts
+++ b/packages/store/src/lease/StoreLease.ts
@@ -18,12 +18,12 @@
 }
 
 /** Why this host does not hold the lease. */
-export type LeaseAbsence = 'held_by_other' | 'waiting' | 'store_away';
+export type LeaseNotHeldReason = 'held_by_other' | 'waiting' | 'store_away';
 
 /** Whether this host may act, and with which fencing token. */
 export type LeaseState =
   | { readonly type: 'held'; readonly fence: ObjectVersion }
-  | { readonly type: 'not_held'; readonly reason: LeaseAbsence };
+  | { readonly type: 'not_held'; readonly reason: LeaseNotHeldReason };
 
 /** Milliseconds before its expiry at which a lease stops being used; covers the transit time of an order. */
 const EXPIRY_MARGIN_MS: Millis = 500;
@@ -72,7 +72,7 @@
   }
 
   /** Gets the fencing token while this host may act, undefined otherwise; check it before each action. */
-  getFence(): ObjectVersion | undefined {
+  getFencingToken(): ObjectVersion | undefined {
     const { own } = this;
     if (own === undefined || !this.isFresh(own, EXPIRY_MARGIN_MS)) return undefined;
     return this.options.clock.now() < own.actFrom ? undefined : own.version;
@@ -83,7 +83,7 @@
    *
    * @returns Whether this host may act now.
    */
-  async hold(): Promise<LeaseState> {
+  async acquireOrRenew(): Promise<LeaseState> {
     const { own, seen } = this;
     if (own !== undefined && this.isFresh(own, this.options.leaseMs / 2)) return this.state();
     if (own !== undefined) return this.write(own.version, own.actFrom);
@@ -140,7 +140,7 @@
   }
 
   private state(): LeaseState {
-    const fence = this.getFence();
+    const fence = this.getFencingToken();
     return fence === undefined ? { type: 'not_held', reason: 'waiting' } : { type: 'held', fence };
   }
 
--- a/packages/store/tests/CallBudget.test.ts
+++ b/packages/store/tests/CallBudget.test.ts
@@ -4,7 +4,7 @@
 import { Backoff, BudgetedStore, CallBudget } from '@camphorvane/store';
 import { MemoryObjectStore } from '@camphorvane/stand-ins';
 import { errorOf } from './support/results.ts';
-import { drive } from './support/drive.ts';
+import { advanceUntilSettled } from './support/advanceUntilSettled.ts';
 
 const RATES = { readsPerSecond: 8, writesPerSecond: 2 };
 
@@ -41,27 +41,27 @@
   const budget = new CallBudget(clock, RATES);
   const claims = new BudgetedStore(store, budget, 'claims');
   store.setFaults({ readsPerSecond: 0 });
-  await drive(clock, claims.get('claim', 'a'));
+  await advanceUntilSettled(clock, claims.get('claim', 'a'));
   store.setFaults({ readsPerSecond: 2000 });
-  const config = await drive(
+  const config = await advanceUntilSettled(
     clock,
     new BudgetedStore(store, budget, 'config').get('config', 'root'),
   );
   assert.equal(errorOf(config).type, 'over_budget');
-  const membership = await drive(
+  const membership = await advanceUntilSettled(
     clock,
     new BudgetedStore(store, budget, 'membership').get('group', 'g'),
   );
   assert.ok(membership.isOk());
   await clock.advance(1000);
-  assert.ok((await drive(clock, claims.get('claim', 'a'))).isOk());
+  assert.ok((await advanceUntilSettled(clock, claims.get('claim', 'a'))).isOk());
 });
 
 test('a change of rates adds no tokens', () => {
   const budget = new CallBudget(new VirtualClock(), RATES);
   drain(budget, () => budget.take('write', 'membership').isOk());
   budget.setRates({ readsPerSecond: 800, writesPerSecond: 200 });
-  assert.equal(budget.left('write'), 0);
+  assert.equal(budget.getRemaining('write'), 0);
 });
 
 test('a refusal by the own budget does not pause other components', async () => {
@@ -75,15 +75,15 @@
 test('back-off delays double up to their bound, differ between hosts and reset after a success', () => {
   const delays = (seed: number): readonly number[] => {
     const backoff = new Backoff(new RandomSource(seed), { baseMs: 100, maxMs: 1000 });
-    return Array.from({ length: 8 }, () => backoff.next());
+    return Array.from({ length: 8 }, () => backoff.nextDelayMs());
   };
   const bounds = [100, 200, 400, 800, 1000, 1000, 1000, 1000];
   assert.ok(delays(1).every((delay, i) => delay <= bounds[i]! && delay >= bounds[i]! / 4));
   assert.notDeepEqual(delays(1), delays(2));
   const backoff = new Backoff(new RandomSource(3), { baseMs: 100, maxMs: 1000 });
-  backoff.next();
+  backoff.nextDelayMs();
   backoff.reset();
-  assert.ok(backoff.next() <= 100);
+  assert.ok(backoff.nextDelayMs() <= 100);
 });
 
 test('a busy host may exceed its share while the platform accepts all calls', async () => {
--- a/packages/store/tests/HttpObjectStore.test.ts
+++ b/packages/store/tests/HttpObjectStore.test.ts
@@ -41,7 +41,7 @@
   assert.deepEqual(valueOf(await store.put('config', 'root', {}, 6)), STORED);
   await store.put('config', 'root', {}, 'absent');
   assert.ok((await store.remove('config', 'root', 7)).isOk());
-  assert.ok((await store.withdraw('h1')).isOk());
+  assert.ok((await store.deregister('h1')).isOk());
   assert.deepEqual(seen, [
     'GET /v1/objects/config/a%2Fb -',
     'PUT /v1/objects/config/root "6"',
--- a/packages/store/tests/HttpProtocol.test.ts
+++ b/packages/store/tests/HttpProtocol.test.ts
@@ -44,8 +44,8 @@
     peerAddress: '127.0.0.1:2',
     state: 'live',
   } as const;
-  valueOf(await store.announce(entry));
+  valueOf(await store.register(entry));
   assert.deepEqual(valueOf(await store.hosts()), [entry]);
-  valueOf(await store.withdraw('h1'));
+  valueOf(await store.deregister('h1'));
   assert.deepEqual(valueOf(await store.hosts()), []);
 });
--- a/packages/store/tests/claims/IdempotencyClaims.test.ts
+++ b/packages/store/tests/claims/IdempotencyClaims.test.ts
@@ -6,17 +6,17 @@
   ClaimSweeper,
   DEFAULT_RETENTION_MS,
   IdempotencyClaims,
-  MAX_KEPT_BYTES,
+  MAX_STORED_RESPONSE_BYTES,
   claimRefusal,
   type Claim,
   type ClaimOutcome,
   type ClaimRequest,
-  type HolderState,
+  type ClaimHolderState,
 } from '@camphorvane/store';
 import { MemoryObjectStore } from '@camphorvane/stand-ins';
 import fc from 'fast-check';
 import { TimeoutStore } from '../support/TimeoutStore.ts';
-import { drive } from '../support/drive.ts';
+import { advanceUntilSettled } from '../support/advanceUntilSettled.ts';
 
 const RESPONSE = { status: 201, headers: { 'x-lot': '7' }, body: Buffer.from('{"certificate":7}') };
 
@@ -35,7 +35,7 @@
 function setUp() {
   const clock = new VirtualClock();
   const store = new MemoryObjectStore(clock);
-  const states = new Map<string, HolderState>();
+  const states = new Map<string, ClaimHolderState>();
   const host = (seed = 1): IdempotencyClaims =>
     new IdempotencyClaims({
       store,
@@ -54,12 +54,12 @@
 test('a call that has run replays its response to a caller that sends it again', async () => {
   const { clock, host } = setUp();
   const [a, b] = [host(), host(2)];
-  const claim = granted(await drive(clock, a.claim(call('a', '1'))));
-  await drive(clock, a.finish(claim, RESPONSE));
-  const again = await drive(clock, b.claim(call('b', '2')));
+  const claim = granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
+  await advanceUntilSettled(clock, a.finish(claim, RESPONSE));
+  const again = await advanceUntilSettled(clock, b.claim(call('b', '2')));
   assert.ok(again.type === 'finished');
   assert.deepEqual({ ...again.answer, body: Buffer.from(again.answer!.body) }, RESPONSE);
-  assert.equal(a.getOpen(), 0);
+  assert.equal(a.getOpenCount(), 0);
 });
 
 test('a call sent again while it runs is not run a second time', async () => {
@@ -67,10 +67,10 @@
   // to another one; both must detect that the first call is in flight.
   const { clock, host } = setUp();
   const [a, b] = [host(), host(2)];
-  granted(await drive(clock, a.claim(call('a', '1'))));
+  granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
   const outcomes = [
-    await drive(clock, a.claim(call('a', '2'))),
-    await drive(clock, b.claim(call('b', '3'))),
+    await advanceUntilSettled(clock, a.claim(call('a', '2'))),
+    await advanceUntilSettled(clock, b.claim(call('b', '3'))),
   ];
   assert.deepEqual(
     outcomes.map((outcome) => outcome.type),
@@ -83,9 +83,9 @@
   // It is unknown whether the service issued the certificate. The caller may send the call again even
   // after a month, and must never get a second certificate.
   const { clock, store, states, host } = setUp();
-  granted(await drive(clock, host().claim(call('a', '1'))));
+  granted(await advanceUntilSettled(clock, host().claim(call('a', '1'))));
   states.set('a', 'gone');
-  const outcome = await drive(clock, host(2).claim(call('b', '2')));
+  const outcome = await advanceUntilSettled(clock, host(2).claim(call('b', '2')));
   assert.equal(outcome.type, 'outcome_unknown');
   assert.equal(claimRefusal(outcome)?.execution, 'unknown');
   await clock.advance(31 * DEFAULT_RETENTION_MS);
@@ -95,18 +95,24 @@
     random: new RandomSource(4),
     retentionMs: DEFAULT_RETENTION_MS,
   });
-  const sweeps = Array.from({ length: 200 }, () => drive(clock, sweeper.sweep()));
+  const sweeps = Array.from({ length: 200 }, () => advanceUntilSettled(clock, sweeper.sweep()));
   await Promise.all(sweeps);
-  assert.equal((await drive(clock, host(3).claim(call('c', '3')))).type, 'outcome_unknown');
+  assert.equal(
+    (await advanceUntilSettled(clock, host(3).claim(call('c', '3')))).type,
+    'outcome_unknown',
+  );
 });
 
 test('a call without a response has an unknown outcome at once, on every host', async () => {
   const { clock, host } = setUp();
   const a = host();
-  const claim = granted(await drive(clock, a.claim(call('a', '1'))));
-  await drive(clock, a.leaveUnknown(claim));
-  assert.equal((await drive(clock, a.claim(call('a', '2')))).type, 'outcome_unknown');
-  assert.equal((await drive(clock, host(2).claim(call('b', '3')))).type, 'outcome_unknown');
+  const claim = granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
+  await advanceUntilSettled(clock, a.markOutcomeUnknown(claim));
+  assert.equal((await advanceUntilSettled(clock, a.claim(call('a', '2')))).type, 'outcome_unknown');
+  assert.equal(
+    (await advanceUntilSettled(clock, host(2).claim(call('b', '3')))).type,
+    'outcome_unknown',
+  );
 });
 
 test('a claim whose write got no response is recognized as its own', async () => {
@@ -114,18 +120,18 @@
   // refuse the caller as in use although no attempt runs.
   const { clock, store, host } = setUp();
   store.setFaults({ lostAnswers: 1 });
-  granted(await drive(clock, host().claim(call('a', '1'))));
+  granted(await advanceUntilSettled(clock, host().claim(call('a', '1'))));
   assert.equal(store.snapshot().length, 1);
 });
 
 test('the same key is a mismatch with another body, and independent for another team or route', async () => {
   const { clock, host } = setUp();
   const a = host();
-  granted(await drive(clock, a.claim(call('a', '1'))));
-  const other = await drive(clock, a.claim(call('a', '2', { requestDigest: 'd2' })));
+  granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
+  const other = await advanceUntilSettled(clock, a.claim(call('a', '2', { requestDigest: 'd2' })));
   assert.equal(other.type, 'mismatch');
-  granted(await drive(clock, a.claim(call('a', '3', { team: 'yard' }))));
-  granted(await drive(clock, a.claim(call('a', '4', { route: 'POST /void' }))));
+  granted(await advanceUntilSettled(clock, a.claim(call('a', '3', { team: 'yard' }))));
+  granted(await advanceUntilSettled(clock, a.claim(call('a', '4', { route: 'POST /void' }))));
 });
 
 test('during an outage a call is refused as not run, and its key is free afterwards', async () => {
@@ -137,45 +143,48 @@
   const pending = a.claim(call('a', '1'));
   while (store.faults.lostAnswers > 0) await clock.advance(1);
   store.setFaults({ down: true });
-  const refusal = claimRefusal(await drive(clock, pending));
+  const refusal = claimRefusal(await advanceUntilSettled(clock, pending));
   assert.deepEqual(
     [refusal?.code, refusal?.execution],
     ['idempotency_store_unavailable', 'not_run'],
   );
   assert.equal(store.snapshot().length, 1);
   store.setFaults({ down: false });
-  await drive(clock, a.drained());
-  granted(await drive(clock, host(2).claim(call('b', '2'))));
+  await advanceUntilSettled(clock, a.whenDrained());
+  granted(await advanceUntilSettled(clock, host(2).claim(call('b', '2'))));
 });
 
 test('an outcome that could not be stored is served from memory and stored later', async () => {
   const { clock, store, host } = setUp();
   const a = host();
-  const claim = granted(await drive(clock, a.claim(call('a', '1'))));
+  const claim = granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
   store.setFaults({ down: true });
   void a.finish(claim, RESPONSE);
   await clock.advance(60_000);
-  assert.equal((await drive(clock, a.claim(call('a', '2')))).type, 'finished');
+  assert.equal((await advanceUntilSettled(clock, a.claim(call('a', '2')))).type, 'finished');
   store.setFaults({ down: false });
-  await drive(clock, a.drained());
-  assert.equal((await drive(clock, host(2).claim(call('b', '3')))).type, 'finished');
+  await advanceUntilSettled(clock, a.whenDrained());
+  assert.equal((await advanceUntilSettled(clock, host(2).claim(call('b', '3')))).type, 'finished');
 });
 
 test('a claim that was never dispatched is released', async () => {
   const { clock, store, host } = setUp();
   const a = host();
-  const claim = granted(await drive(clock, a.claim(call('a', '1'))));
+  const claim = granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
   store.setFaults({ lostAnswers: 1 });
-  await drive(clock, a.abandon(claim));
-  granted(await drive(clock, host(2).claim(call('b', '2'))));
+  await advanceUntilSettled(clock, a.releaseUndispatched(claim));
+  granted(await advanceUntilSettled(clock, host(2).claim(call('b', '2'))));
 });
 
 test('a call whose response is too large to store counts as run', async () => {
   const { clock, host } = setUp();
   const a = host();
-  const claim = granted(await drive(clock, a.claim(call('a', '1'))));
-  await drive(clock, a.finish(claim, { ...RESPONSE, body: Buffer.alloc(MAX_KEPT_BYTES + 1) }));
-  const again = await drive(clock, a.claim(call('a', '2')));
+  const claim = granted(await advanceUntilSettled(clock, a.claim(call('a', '1'))));
+  await advanceUntilSettled(
+    clock,
+    a.finish(claim, { ...RESPONSE, body: Buffer.alloc(MAX_STORED_RESPONSE_BYTES + 1) }),
+  );
+  const again = await advanceUntilSettled(clock, a.claim(call('a', '2')));
   assert.deepEqual(again, { type: 'finished', answer: undefined });
   assert.equal(claimRefusal(again)?.execution, 'unknown');
 });
@@ -185,17 +194,19 @@
   const a = host();
   const keys = Array.from({ length: 40 }, (_, i) => `key-${i}`);
   const run = async (key: string) => {
-    const claim = granted(await drive(clock, a.claim(call('a', `1-${key}`, { key }))));
-    await drive(clock, a.finish(claim, RESPONSE));
+    const claim = granted(
+      await advanceUntilSettled(clock, a.claim(call('a', `1-${key}`, { key }))),
+    );
+    await advanceUntilSettled(clock, a.finish(claim, RESPONSE));
   };
   await keys.reduce((before, key) => before.then(() => run(key)), Promise.resolve());
   await clock.advance(DEFAULT_RETENTION_MS + 1000);
-  granted(await drive(clock, a.claim(call('a', '2', { key: 'key-0' }))));
+  granted(await advanceUntilSettled(clock, a.claim(call('a', '2', { key: 'key-0' }))));
   const random = new RandomSource(4);
   const sweeper = new ClaimSweeper({ store, clock, random, retentionMs: DEFAULT_RETENTION_MS });
   sweeper.start();
   await clock.advance(DEFAULT_RETENTION_MS / 4);
-  await drive(clock, sweeper.stop());
+  await advanceUntilSettled(clock, sweeper.stop());
   assert.deepEqual(
     store.snapshot().map((object) => object.kind),
     [CLAIM_KIND],
@@ -234,13 +245,13 @@
 
   async settle(): Promise<void> {
     this.store.setFaults({ down: false, lostAnswers: 0, delayMs: 3 });
-    await drive(this.clock, Promise.all(this.running));
-    const ends = Object.values(this.hosts).map((host) => host.drained());
-    await drive(this.clock, Promise.all(ends));
+    await advanceUntilSettled(this.clock, Promise.all(this.running));
+    const ends = Object.values(this.hosts).map((host) => host.whenDrained());
+    await advanceUntilSettled(this.clock, Promise.all(ends));
   }
 
   claimAgain(): Promise<ClaimOutcome> {
-    return drive(this.clock, this.hosts.b.claim(call('b', 'last')));
+    return advanceUntilSettled(this.clock, this.hosts.b.claim(call('b', 'last')));
   }
 
   private host(seed: number): IdempotencyClaims {
@@ -252,12 +263,12 @@
     const outcome = await this.hosts[id].claim(call(id, attempt));
     if (outcome.type !== 'claimed') return;
     if (this.end === 'abandon') {
-      await this.hosts[id].abandon(outcome.claim);
+      await this.hosts[id].releaseUndispatched(outcome.claim);
       return;
     }
     this.dispatched.push(attempt);
     if (this.end === 'finish') await this.hosts[id].finish(outcome.claim, RESPONSE);
-    else await this.hosts[id].leaveUnknown(outcome.claim);
+    else await this.hosts[id].markOutcomeUnknown(outcome.claim);
   }
 }
 
--- a/packages/store/tests/config/ConfigFollower.test.ts
+++ b/packages/store/tests/config/ConfigFollower.test.ts
@@ -9,7 +9,7 @@
   type ConfigPeers,
 } from '@camphorvane/store';
 import { MemoryObjectStore } from '@camphorvane/stand-ins';
-import { drive } from '../support/drive.ts';
+import { advanceUntilSettled } from '../support/advanceUntilSettled.ts';
 import { configOf, manyTeams, publish, team } from '../support/publish.ts';
 
 const ACTIVE_WITHIN_MS = 6000;
@@ -74,7 +74,7 @@
   await clock.advance(1000);
   assert.deepEqual(fresh.current(), old.current());
   assert.equal(fresh.isConfirmed(), false);
-  fresh.noteMajorityConfirmed(old.knownVersion(), clock.now());
+  fresh.recordMajorityVersion(old.knownVersion(), clock.now());
   assert.equal(fresh.isConfirmed(), true);
 });
 
@@ -85,7 +85,7 @@
   await publish(clock, store, configOf(team('a', ['d1'])));
   const suspended = start();
   await clock.advance(1000);
-  await drive(clock, suspended.stop());
+  await advanceUntilSettled(clock, suspended.stop());
   const host = start(relay(suspended), 2);
   await clock.advance(1000);
   const second = await publish(clock, store, configOf(team('a')));
@@ -154,12 +154,12 @@
   shown.isVisible = false;
   const changed = await publish(clock, store, configOf(team('a')));
   await clock.advance(2000);
-  host.noteMajorityConfirmed(changed.version, clock.now());
+  host.recordMajorityVersion(changed.version, clock.now());
   await clock.advance(ACTIVE_WITHIN_MS);
   assert.equal(host.isConfirmed(), false);
   shown.isVisible = true;
   await clock.advance(ACTIVE_WITHIN_MS);
-  host.noteMajorityConfirmed(changed.version, clock.now());
+  host.recordMajorityVersion(changed.version, clock.now());
   assert.deepEqual([host.current()?.version, host.isConfirmed()], [changed.version, true]);
 });
 
@@ -170,7 +170,7 @@
   const first = await publish(clock, store, configOf(team('a')));
   const host = start();
   await clock.advance(1000);
-  await drive(clock, store.put(CONFIG_KIND, ROOT_NAME, { format: 2 }, first.version));
+  await advanceUntilSettled(clock, store.put(CONFIG_KIND, ROOT_NAME, { format: 2 }, first.version));
   await clock.advance(10_000);
   assert.equal(host.current()?.version, first.version);
   assert.equal(host.isConfirmed(), false);
--- a/packages/store/tests/config/ConfigFollowers.property.test.ts
+++ b/packages/store/tests/config/ConfigFollowers.property.test.ts
@@ -4,7 +4,7 @@
 import { ConfigFollower, configDigest, type ConfigPeers } from '@camphorvane/store';
 import { MemoryObjectStore } from '@camphorvane/stand-ins';
 import fc from 'fast-check';
-import { drive } from '../support/drive.ts';
+import { advanceUntilSettled } from '../support/advanceUntilSettled.ts';
 import { configOf, publish, team } from '../support/publish.ts';
 
 type Event = 'change' | 'down' | 'up' | 'slow' | 'fast' | 'restart';
@@ -56,7 +56,7 @@
     await this.clock.advance(ACTIVE_WITHIN_MS);
     const states = this.hosts.map((host) => [host.current()?.version, host.isConfirmed()]);
     assert.deepEqual(states, Array(HOSTS).fill([this.newest, true]));
-    await drive(this.clock, Promise.all(this.hosts.map((host) => host.stop())));
+    await advanceUntilSettled(this.clock, Promise.all(this.hosts.map((host) => host.stop())));
     this.activations.forEach(({ version, before, digest }) => {
       assert.ok(version > before, `version ${version} became active after ${before}`);
       assert.equal(digest, this.accepted.get(version));
@@ -72,7 +72,7 @@
   }
 
   private async restart(index: number): Promise<void> {
-    await drive(this.clock, this.hosts[index]!.stop());
+    await advanceUntilSettled(this.clock, this.hosts[index]!.stop());
     this.hosts = this.hosts.map((host, i) => (i === index ? this.startHost() : host));
   }
 
--- a/packages/store/tests/config/ConfigPart.test.ts
+++ b/packages/store/tests/config/ConfigPart.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bucketsFor, chunkConfig, configDigest } from '@camphorvane/store';
+import { bucketCountFor, chunkConfig, configDigest } from '@camphorvane/store';
 import fc from 'fast-check';
 import { configOf, manyTeams, team } from '../support/publish.ts';
 
@@ -27,9 +27,9 @@
 
 test('the number of buckets grows with the teams and stays while close to the best number', () => {
   assert.deepEqual(
-    [0, 64, 65, 20_000, 10 ** 7].map((n) => bucketsFor(n)),
+    [0, 64, 65, 20_000, 10 ** 7].map((n) => bucketCountFor(n)),
     [1, 1, 2, 512, 1024],
   );
-  assert.equal(bucketsFor(20_000, 128), 128);
-  assert.equal(bucketsFor(20_000, 64), 512);
+  assert.equal(bucketCountFor(20_000, 128), 128);
+  assert.equal(bucketCountFor(20_000, 64), 512);
 });
--- a/packages/store/tests/config/KeyRing.test.ts
+++ b/packages/store/tests/config/KeyRing.test.ts
@@ -27,7 +27,7 @@
   ring.update(configOf(team('a', [DIGEST_B])));
   assert.deepEqual(notified, [{ digest: DIGEST_A, team: 'a' }]);
   assert.equal(ring.lookup(KEY_A).type, 'withdrawn');
-  assert.equal(ring.isInForce(DIGEST_A, 'a'), false);
+  assert.equal(ring.isActive(DIGEST_A, 'a'), false);
   ring.update(configOf(team('a', [DIGEST_A, DIGEST_B])));
   assert.equal(ring.lookup(KEY_A).type, 'team');
   assert.equal(notified.length, 1);
--- a/packages/store/tests/follow/KindFollower.test.ts
+++ b/packages/store/tests/follow/KindFollower.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RandomSource, VirtualClock } from '@camphorvane/core';
-import type { FollowedKind, PlatformError, WatchBatch, WatchableStore } from '@camphorvane/store';
+import type { KindCopy, PlatformError, WatchBatch, WatchableStore } from '@camphorvane/store';
 import { KindFollower } from '@camphorvane/store';
 import { err, errAsync, okAsync, ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
@@ -67,13 +67,13 @@
 }
 
 async function follow(steps: Step[]): Promise<{
-  readonly rounds: readonly FollowedKind[];
+  readonly rounds: readonly KindCopy[];
   readonly calls: readonly string[];
   readonly states: readonly string[];
 }> {
   const { store, calls } = scriptedStore(steps);
   const clock = new VirtualClock();
-  const rounds: FollowedKind[] = [];
+  const rounds: KindCopy[] = [];
   const states: string[] = [];
   const stop = new AbortController();
   const follower = new KindFollower({
@@ -82,8 +82,8 @@
     clock,
     random: new RandomSource(1),
     watchMs: 1_000,
-    onRound: (round) => rounds.push(round),
-    onStore: (state) => states.push(state),
+    onSync: (round) => rounds.push(round),
+    onStoreState: (state) => states.push(state),
   });
   void follower.run(stop.signal);
   await clock.advance(5_000);
@@ -91,7 +91,7 @@
   return { rounds, calls, states };
 }
 
-const namesOf = (round: FollowedKind | undefined): readonly string[] => [
+const namesOf = (round: KindCopy | undefined): readonly string[] => [
   ...(round?.objects.keys() ?? []),
 ];
 
@@ -113,7 +113,7 @@
     { type: 'snapshot', names: ['b'], version: 9 },
   ]);
   assert.deepEqual(namesOf(rounds.at(-1)), ['b']);
-  assert.equal(rounds.at(-1)?.awayMs, 0);
+  assert.equal(rounds.at(-1)?.outageMs, 0);
   assert.deepEqual(states, []);
 });
 
@@ -125,7 +125,7 @@
     { type: 'snapshot', names: ['a'], version: 6 },
   ]);
   assert.deepEqual(states, ['lost', 'regained']);
-  assert.ok((rounds.at(-1)?.awayMs ?? 0) > 0);
+  assert.ok((rounds.at(-1)?.outageMs ?? 0) > 0);
 });
 
 // The connection of a watch dies while a server leaves. A peer whose watch works reports the newer
@@ -137,7 +137,7 @@
     { type: 'snapshot', names: ['b'], version: 9 },
   ]);
   const clock = new VirtualClock();
-  const rounds: FollowedKind[] = [];
+  const rounds: KindCopy[] = [];
   const stop = new AbortController();
   const follower = new KindFollower({
     store,
@@ -145,12 +145,12 @@
     clock,
     random: new RandomSource(1),
     watchMs: 60_000,
-    onRound: (round) => rounds.push(round),
+    onSync: (round) => rounds.push(round),
   });
   void follower.run(stop.signal);
   await clock.advance(1_000);
   assert.deepEqual(namesOf(rounds.at(-1)), ['a', 'b']);
-  follower.noteNewer(8);
+  follower.receiveVersion(8);
   await clock.advance(1_000);
   stop.abort();
   assert.deepEqual(namesOf(rounds.at(-1)), ['b']);
@@ -166,7 +166,7 @@
     { type: 'snapshot', names: ['b'], version: 9 },
   ]);
   const clock = new VirtualClock();
-  const rounds: FollowedKind[] = [];
+  const rounds: KindCopy[] = [];
   const stop = new AbortController();
   const follower: KindFollower = new KindFollower({
     store,
@@ -174,9 +174,9 @@
     clock,
     random: new RandomSource(1),
     watchMs: 60_000,
-    onRound: (round) => {
+    onSync: (round) => {
       rounds.push(round);
-      follower.noteNewer(8);
+      follower.receiveVersion(8);
     },
   });
   void follower.run(stop.signal);
@@ -205,15 +205,15 @@
   const follower = new KindFollower({
     ...{ store, kind: 'k', clock, random: new RandomSource(1), watchMs: 1_000 },
     mode: () => 'poll',
-    pollMs: () => 10_000,
-    onRound: () => undefined,
+    pollIntervalMs: () => 10_000,
+    onSync: () => undefined,
   });
   void follower.run(stop.signal);
   await clock.advance(9_000);
   assert.equal(calls.length, 1);
   await clock.advance(2_000);
   assert.equal(calls.length, 2);
-  follower.noteNewer(8);
+  follower.receiveVersion(8);
   await clock.advance(100);
   stop.abort();
   assert.equal(follower.getVersion(), 9);
--- a/packages/store/tests/follow/OwnRecord.test.ts
+++ b/packages/store/tests/follow/SingleWriterObject.test.ts
@@ -3,7 +3,7 @@
 import { SystemClock } from '@camphorvane/core';
 import { MemoryObjectStore } from '@camphorvane/stand-ins';
 import type { WatchableStore } from '@camphorvane/store';
-import { OwnRecord } from '@camphorvane/store';
+import { SingleWriterObject } from '@camphorvane/store';
 
 function store(): MemoryObjectStore & WatchableStore {
   return new MemoryObjectStore(new SystemClock()) as unknown as MemoryObjectStore & WatchableStore;
@@ -13,8 +13,8 @@
 // would keep using an address on which no process listens.
 test('a new incarnation overwrites the record of an earlier one', async () => {
   const objects = store();
-  assert.equal(await new OwnRecord(objects, 'hosts', 'a').write({ start: 1 }), undefined);
-  const second = new OwnRecord(objects, 'hosts', 'a');
+  assert.equal(await new SingleWriterObject(objects, 'hosts', 'a').write({ start: 1 }), undefined);
+  const second = new SingleWriterObject(objects, 'hosts', 'a');
   assert.equal(await second.write({ start: 2 }), undefined);
   assert.equal(await second.write({ start: 3 }), undefined);
   const stored = await objects.get('hosts', 'a');
@@ -24,13 +24,13 @@
 test('a failed write returns the error', async () => {
   const objects = store();
   objects.setFaults({ down: true });
-  const problem = await new OwnRecord(objects, 'hosts', 'a').write({});
+  const problem = await new SingleWriterObject(objects, 'hosts', 'a').write({});
   assert.equal(problem?.type, 'unavailable');
 });
 
 test('removing a record twice succeeds', async () => {
   const objects = store();
-  const record = new OwnRecord(objects, 'hosts', 'a');
+  const record = new SingleWriterObject(objects, 'hosts', 'a');
   await record.write({});
   await record.remove();
   await record.remove();
--- a/packages/store/tests/support/OneObject.ts
+++ b/packages/store/tests/support/SingleObjectStore.ts
@@ -7,13 +7,13 @@
 type Write = ResultAsync<StoredObject, PlatformError>;
 
 /** A store with a single object, for tests with outages and lost responses. */
-export class OneObject {
+export class SingleObjectStore {
   object: StoredObject | undefined;
 
   isDown = false;
 
   /** Whether writes take effect without a response. */
-  losesAnswer = false;
+  losesResponses = false;
 
   private version = 40;
 
@@ -27,6 +27,6 @@
     if ((current?.version ?? 'absent') !== expected) return errAsync({ type: 'conflict', current });
     this.version += 1;
     this.object = { kind, name, value, version: this.version };
-    return this.losesAnswer ? errAsync(DOWN) : okAsync(this.object);
+    return this.losesResponses ? errAsync(DOWN) : okAsync(this.object);
   }
 }
--- a/packages/store/tests/support/SuspendedClock.ts
+++ b/packages/store/tests/support/SuspendableClock.ts
@@ -1,7 +1,7 @@
 import type { Clock, VirtualClock } from '@camphorvane/core';
 
 /** A clock whose monotonic time stops during suspensions and whose wall time can be stepped. */
-export class SuspendedClock implements Clock {
+export class SuspendableClock implements Clock {
   /** Total time for which the process was suspended, in milliseconds. */
   suspendedMs = 0;
 
--- a/packages/store/tests/support/TimeoutStore.ts
+++ b/packages/store/tests/support/TimeoutStore.ts
@@ -1,6 +1,6 @@
 import type { Clock, Millis } from '@camphorvane/core';
 import type {
-  Expected,
+  ExpectedVersion,
   HostEntry,
   ObjectStore,
   ObjectVersion,
@@ -26,7 +26,7 @@
     kind: string,
     name: string,
     value: unknown,
-    expected: Expected,
+    expected: ExpectedVersion,
   ): ResultAsync<StoredObject, PlatformError> {
     return this.withTimeout(this.inner.put(kind, name, value, expected));
   }
--- a/packages/store/tests/support/drive.ts
+++ b/packages/store/tests/support/advanceUntilSettled.ts
@@ -5,7 +5,10 @@
 const MAX_STEPS = 100_000;
 
 /** Advances the virtual time until a promise is settled, and gets its value. */
-export async function drive<T>(clock: VirtualClock, promise: PromiseLike<T>): Promise<T> {
+export async function advanceUntilSettled<T>(
+  clock: VirtualClock,
+  promise: PromiseLike<T>,
+): Promise<T> {
   const state = { isDone: false };
   const finish = (): void => {
     state.isDone = true;
--- a/packages/store/tests/support/publish.ts
+++ b/packages/store/tests/support/publish.ts
@@ -7,7 +7,7 @@
   type ObjectStore,
   type StoredObject,
 } from '@camphorvane/store';
-import { drive } from './drive.ts';
+import { advanceUntilSettled } from './advanceUntilSettled.ts';
 import { valueOf } from './results.ts';
 
 /** Creates a team with the given key digests. */
@@ -32,13 +32,18 @@
   store: ObjectStore,
   config: RoutingConfig,
 ): Promise<StoredObject> {
-  const before = valueOf(await drive(clock, store.get(CONFIG_KIND, ROOT_NAME)));
+  const before = valueOf(await advanceUntilSettled(clock, store.get(CONFIG_KIND, ROOT_NAME)));
   const { chunks, manifest } = chunkConfig(config);
   await chunks.reduce(async (earlier, { digest, text }) => {
     await earlier;
-    await drive(clock, store.put(CHUNK_KIND, digest, { text, touchedAt: 0 }, 'absent'));
+    await advanceUntilSettled(
+      clock,
+      store.put(CHUNK_KIND, digest, { text, touchedAt: 0 }, 'absent'),
+    );
   }, Promise.resolve());
   const root = { format: 1, changeId: 'c', requestDigest: 'd', manifest, history: [] };
   const expected = before?.version ?? 'absent';
-  return valueOf(await drive(clock, store.put(CONFIG_KIND, ROOT_NAME, root, expected)));
+  return valueOf(
+    await advanceUntilSettled(clock, store.put(CONFIG_KIND, ROOT_NAME, root, expected)),
+  );
 }
--- a/packages/upstream/src/FreshCall.ts
+++ b/packages/upstream/src/DedicatedConnection.ts
@@ -17,11 +17,11 @@
 const RESET_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE', 'ETIMEDOUT']);
 
 /** Timeouts of one call. */
-export interface FreshCallBounds {
+export interface CallTimeouts {
   /** Milliseconds within which the response headers must arrive. */
-  readonly headMs: Millis;
+  readonly headersTimeoutMs: Millis;
   /** Milliseconds without a byte of the body after which the call times out. */
-  readonly silenceMs: Millis;
+  readonly bodyTimeoutMs: Millis;
 }
 
 /**
@@ -32,12 +32,12 @@
  * costs about 2 ms, so calls that must not be retried and long calls get one, and bytes after the
  * response are discarded.
  */
-export class FreshCall {
+export class DedicatedConnection {
   private readonly client: Client;
 
   private readonly deadline: ProgressDeadline;
 
-  private readonly timeouts: FreshCallBounds;
+  private readonly timeouts: CallTimeouts;
 
   private connected = false;
 
@@ -52,7 +52,7 @@
    * @param timeouts - Timeouts of the call.
    * @param signal - Aborts the call and closes its connection.
    */
-  constructor(origin: string, clock: Clock, timeouts: FreshCallBounds, signal: AbortSignal) {
+  constructor(origin: string, clock: Clock, timeouts: CallTimeouts, signal: AbortSignal) {
     this.timeouts = timeouts;
     this.client = new Client(origin, {
       pipelining: 1,
@@ -63,7 +63,7 @@
     this.client.once('connect', () => {
       this.connected = true;
     });
-    this.deadline = new ProgressDeadline(clock, timeouts.headMs, signal);
+    this.deadline = new ProgressDeadline(clock, timeouts.headersTimeoutMs, signal);
   }
 
   /**
@@ -79,15 +79,15 @@
   static async run<T>(
     origin: string,
     clock: Clock,
-    timeouts: FreshCallBounds,
+    timeouts: CallTimeouts,
     signal: AbortSignal,
-    exchange: (connection: FreshCall) => Promise<Result<T, UpstreamError>>,
+    exchange: (connection: DedicatedConnection) => Promise<Result<T, UpstreamError>>,
   ): Promise<Result<T, UpstreamError>> {
-    const connection = new FreshCall(origin, clock, timeouts, signal);
+    const connection = new DedicatedConnection(origin, clock, timeouts, signal);
     try {
       return await exchange(connection);
     } catch (thrown) {
-      return err(connection.errorOf(thrown));
+      return err(connection.classifyError(thrown));
     } finally {
       connection.close();
     }
@@ -105,9 +105,9 @@
       path: call.path,
       headers: { ...call.headers },
       body: call.body,
-      signal: this.deadline.signal(),
+      signal: this.deadline.getSignal(),
     });
-    this.deadline.allow(this.timeouts.silenceMs);
+    this.deadline.setTimeoutMs(this.timeouts.bodyTimeoutMs);
     return res;
   }
 
@@ -120,7 +120,7 @@
    */
   async *read(res: Dispatcher.ResponseData): AsyncGenerator<Uint8Array> {
     for await (const chunk of res.body) {
-      this.deadline.progress();
+      this.deadline.recordProgress();
       yield chunk as Uint8Array;
     }
     if (this.wasReset && endsWithConnection(res)) {
@@ -137,10 +137,10 @@
    * @param thrown - What {@link send} or {@link read} threw.
    * @returns The typed error.
    */
-  errorOf(thrown: unknown): UpstreamError {
+  classifyError(thrown: unknown): UpstreamError {
     const message = thrown instanceof Error ? thrown.message : String(thrown);
     const dispatched = this.connected;
-    switch (this.deadline.stopReason()) {
+    switch (this.deadline.getAbortReason()) {
       case 'caller':
         return { type: 'cancelled', dispatched, message: 'cancelled' };
       case 'silent':
--- a/packages/upstream/src/HttpModelEngine.ts
+++ b/packages/upstream/src/HttpModelEngine.ts
@@ -1,5 +1,5 @@
-import type { AttemptId, Clock, LoadSnapshot, Millis, UpstreamId } from '@camphorvane/core';
-import { promptTokens } from '@camphorvane/core';
+import type { AttemptId, Clock, LoadReport, Millis, UpstreamId } from '@camphorvane/core';
+import { countPromptTokens } from '@camphorvane/core';
 import { ResultAsync, err, errAsync, ok, okAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { z } from 'zod';
@@ -17,7 +17,7 @@
 import { ProgressDeadline } from './ProgressDeadline.ts';
 import { UpstreamConnections } from './UpstreamConnections.ts';
 import { toUpstreamError } from './upstreamErrors.ts';
-import { loadSnapshotSchema, prefillResultSchema } from './wire.ts';
+import { loadReportSchema, prefillResultSchema } from './wire.ts';
 
 /** Timeouts without progress, by kind of call, in milliseconds. */
 export interface EngineTimeouts {
@@ -107,7 +107,7 @@
     try {
       const res = await this.connections.send(
         { method: 'POST', path: '/v1/decode', headers: JSON_HEADERS, body: JSON.stringify(cmd) },
-        deadline.signal(),
+        deadline.getSignal(),
       );
       if (res.statusCode !== 200) {
         yield err(await statusError(res));
@@ -128,11 +128,11 @@
   }
 
   /** Reads the load report, which lags behind the engine's state. */
-  load(): ResultAsync<LoadSnapshot, UpstreamError> {
+  load(): ResultAsync<LoadReport, UpstreamError> {
     const never = new AbortController().signal;
     const call = { method: 'GET' as const, path: LOAD_PATH, headers: {} };
     return this.request(call, this.timeouts.controlMs, never).andThen((text) =>
-      parseBody(text, loadSnapshotSchema),
+      parseBody(text, loadReportSchema),
     );
   }
 
@@ -188,7 +188,7 @@
     const run = async (): Promise<Result<string, UpstreamError>> => {
       const deadline = new ProgressDeadline(this.clock, timeoutMs, signal);
       try {
-        const res = await this.connections.send(call, deadline.signal());
+        const res = await this.connections.send(call, deadline.getSignal());
         if (res.statusCode >= 400) return err(await statusError(res));
         return ok(await res.body.text());
       } catch (thrown) {
@@ -201,7 +201,7 @@
   }
 
   private handleFailure(thrown: unknown, deadline: ProgressDeadline): UpstreamError {
-    const failure = toUpstreamError(thrown, deadline.stopReason());
+    const failure = toUpstreamError(thrown, deadline.getAbortReason());
     if (failure.type === 'silent') {
       void this.connections.renewAndProbe(LOAD_PATH, this.timeouts.controlMs);
     }
@@ -220,7 +220,7 @@
   cmd: Pick<PrefillCommand, 'prompt' | 'continuation'>,
   timeouts: EngineTimeouts,
 ): Millis {
-  const tokens = promptTokens(cmd.prompt) + promptTokens(cmd.continuation);
+  const tokens = countPromptTokens(cmd.prompt) + countPromptTokens(cmd.continuation);
   return timeouts.prefillBaseMs + tokens * timeouts.prefillPerTokenMs;
 }
 
--- a/packages/upstream/src/HttpPlainServer.ts
+++ b/packages/upstream/src/HttpPlainServer.ts
@@ -2,7 +2,7 @@
 import { ResultAsync, err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { Dispatcher } from 'undici';
-import type { PlainServer, ServiceAnswer, ServiceCall, UpstreamError } from './ModelEngine.ts';
+import type { PlainServer, UpstreamResponse, ServiceCall, UpstreamError } from './ModelEngine.ts';
 import { ProgressDeadline } from './ProgressDeadline.ts';
 import { UpstreamConnections } from './UpstreamConnections.ts';
 import { toUpstreamError } from './upstreamErrors.ts';
@@ -48,8 +48,8 @@
   }
 
   /** Runs one call and reads its whole response. */
-  call(call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, UpstreamError> {
-    const run = async (): Promise<Result<ServiceAnswer, UpstreamError>> => {
+  call(call: ServiceCall, signal: AbortSignal): ResultAsync<UpstreamResponse, UpstreamError> {
+    const run = async (): Promise<Result<UpstreamResponse, UpstreamError>> => {
       const deadline = new ProgressDeadline(this.clock, call.timeoutMs, signal);
       try {
         const res = await this.connections.send(
@@ -59,11 +59,11 @@
             headers: { ...call.headers, [ATTEMPT_HEADER]: call.attempt },
             body: call.body.length > 0 ? call.body : undefined,
           },
-          deadline.signal(),
+          deadline.getSignal(),
         );
         return await readResponse(res, call);
       } catch (thrown) {
-        const failure = toUpstreamError(thrown, deadline.stopReason());
+        const failure = toUpstreamError(thrown, deadline.getAbortReason());
         if (failure.type === 'silent') {
           void this.connections.renewAndProbe('/', PROBE_TIMEOUT_MS);
         }
@@ -85,7 +85,7 @@
 async function readResponse(
   res: Dispatcher.ResponseData,
   call: ServiceCall,
-): Promise<Result<ServiceAnswer, UpstreamError>> {
+): Promise<Result<UpstreamResponse, UpstreamError>> {
   const echoedAttempt = res.headers[ATTEMPT_HEADER];
   if (echoedAttempt !== undefined && echoedAttempt !== call.attempt) {
     res.body.destroy();
--- a/packages/upstream/src/ModelEngine.ts
+++ b/packages/upstream/src/ModelEngine.ts
@@ -1,6 +1,6 @@
 import type {
   AttemptId,
-  LoadSnapshot,
+  LoadReport,
   ModelId,
   OpaquePrompt,
   Pieces,
@@ -73,7 +73,7 @@
 }
 
 /** Status and headers of an upstream's response, unchanged. */
-export interface AnswerHead {
+export interface UpstreamResponseHead {
   readonly status: number;
   /** Lower-case names, without hop-by-hop headers. */
   readonly headers: Readonly<Record<string, string>>;
@@ -86,12 +86,12 @@
 
 /** One event of a decode stream; only forwarded calls have a `head`. */
 export type DecodeEvent =
-  | { readonly type: 'head'; readonly attempt: AttemptId; readonly head: AnswerHead }
+  | { readonly type: 'head'; readonly attempt: AttemptId; readonly head: UpstreamResponseHead }
   | {
       /** A complete response of the engine instead of a stream, such as an error. */
       readonly type: 'answer';
       readonly attempt: AttemptId;
-      readonly head: AnswerHead;
+      readonly head: UpstreamResponseHead;
       readonly body: Uint8Array;
     }
   | {
@@ -148,7 +148,7 @@
   cancel(attempt: AttemptId): ResultAsync<void, UpstreamError>;
 
   /** Reads the load report, which lags behind the engine's state. */
-  load(): ResultAsync<LoadSnapshot, UpstreamError>;
+  load(): ResultAsync<LoadReport, UpstreamError>;
 
   /** Sends an order. */
   order(order: EngineOrder): ResultAsync<void, UpstreamError>;
@@ -171,7 +171,7 @@
 }
 
 /** A complete response of a plain service. */
-export interface ServiceAnswer extends AnswerHead {
+export interface UpstreamResponse extends UpstreamResponseHead {
   readonly body: Uint8Array;
 }
 
@@ -180,5 +180,5 @@
   readonly id: UpstreamId;
 
   /** Runs one call and reads its whole response. */
-  call(call: ServiceCall, signal: AbortSignal): ResultAsync<ServiceAnswer, UpstreamError>;
+  call(call: ServiceCall, signal: AbortSignal): ResultAsync<UpstreamResponse, UpstreamError>;
 }
--- a/packages/upstream/src/ProgressDeadline.ts
+++ b/packages/upstream/src/ProgressDeadline.ts
@@ -1,7 +1,7 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
 /** Why a call was aborted locally: by its caller, or by the timeout (`silent`). */
-export type StopReason = 'caller' | 'silent';
+export type AbortReason = 'caller' | 'silent';
 
 /**
  * Aborts a call that makes no progress within a timeout.
@@ -23,7 +23,7 @@
 
   private cancelTimer: CancelTimer = () => undefined;
 
-  private reason: StopReason | undefined;
+  private reason: AbortReason | undefined;
 
   /**
    * @param clock - Times the call.
@@ -37,30 +37,30 @@
     this.onCallerAbort = () => this.abortFor('caller');
     callerSignal.addEventListener('abort', this.onCallerAbort, { once: true });
     if (callerSignal.aborted) this.abortFor('caller');
-    this.progress();
+    this.recordProgress();
   }
 
   /** Gets the signal that aborts the call. */
-  signal(): AbortSignal {
+  getSignal(): AbortSignal {
     return this.controller.signal;
   }
 
   /** Gets why the call was aborted locally; undefined if it was not. */
-  stopReason(): StopReason | undefined {
+  getAbortReason(): AbortReason | undefined {
     return this.reason;
   }
 
   /** Resets the timeout, because data arrived. */
-  progress(): void {
+  recordProgress(): void {
     this.cancelTimer();
     if (this.reason !== undefined) return;
     this.cancelTimer = this.clock.after(this.timeoutMs, () => this.abortFor('silent'));
   }
 
   /** Sets the timeout and resets it. */
-  allow(timeoutMs: Millis): void {
+  setTimeoutMs(timeoutMs: Millis): void {
     this.timeoutMs = timeoutMs;
-    this.progress();
+    this.recordProgress();
   }
 
   /** Cancels the timer and removes the listener; does not abort the signal. */
@@ -69,7 +69,7 @@
     this.callerSignal.removeEventListener('abort', this.onCallerAbort);
   }
 
-  private abortFor(reason: StopReason): void {
+  private abortFor(reason: AbortReason): void {
     if (this.reason !== undefined) return;
     this.reason = reason;
     this.cancelTimer();
--- a/packages/upstream/src/decodeStream.ts
+++ b/packages/upstream/src/decodeStream.ts
@@ -28,7 +28,7 @@
   let buffered = '';
   let expectedPosition = cmd.fromPosition;
   for await (const chunk of body) {
-    deadline.progress();
+    deadline.recordProgress();
     buffered += decoder.decode(chunk, { stream: true });
     const lines = buffered.split('\n');
     buffered = lines.pop() ?? '';
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -4,4 +4,4 @@
 export * from './HttpPlainServer.ts';
 export * from './decodeStream.ts';
 export * from './upstreamErrors.ts';
-export * from './FreshCall.ts';
+export * from './DedicatedConnection.ts';
--- a/packages/upstream/src/upstreamErrors.ts
+++ b/packages/upstream/src/upstreamErrors.ts
@@ -1,4 +1,4 @@
-import type { StopReason } from './ProgressDeadline.ts';
+import type { AbortReason } from './ProgressDeadline.ts';
 import type { UpstreamError } from './ModelEngine.ts';
 
 /** Error codes that occur only while connecting, before anything was sent. */
@@ -20,7 +20,7 @@
  * @param stop - Why the call was aborted locally; undefined if it was not.
  * @returns The typed error.
  */
-export function toUpstreamError(thrown: unknown, stop: StopReason | undefined): UpstreamError {
+export function toUpstreamError(thrown: unknown, stop: AbortReason | undefined): UpstreamError {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   if (stop === 'silent') return { type: 'silent', dispatched: true, message: 'no progress' };
   if (stop === 'caller') return { type: 'cancelled', dispatched: true, message: 'cancelled' };
@@ -38,7 +38,7 @@
  * @param error - How the attempt failed.
  * @returns True where nothing was sent and nothing responded.
  */
-export function reachedNobody(error: UpstreamError): boolean {
+export function reachedNoUpstream(error: UpstreamError): boolean {
   return error.type === 'unreachable' && !error.dispatched && error.answered !== true;
 }
 
--- a/packages/upstream/src/wire.ts
+++ b/packages/upstream/src/wire.ts
@@ -25,7 +25,7 @@
 ]);
 
 /** A load report. */
-export const loadSnapshotSchema = z.object({
+export const loadReportSchema = z.object({
   role: z.enum(['prefill', 'decode']),
   usedPieces: z.number().nonnegative(),
   memoryPieces: z.number().nonnegative(),
--- a/packages/upstream/tests/FreshCall.test.ts
+++ b/packages/upstream/tests/DedicatedConnection.test.ts
@@ -3,9 +3,9 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { test } from 'node:test';
 import { SystemClock } from '@camphorvane/core';
-import { FreshCall } from '@camphorvane/upstream';
+import { DedicatedConnection } from '@camphorvane/upstream';
 
-const TIMEOUTS = { headMs: 2_000, silenceMs: 2_000 };
+const TIMEOUTS = { headersTimeoutMs: 2_000, bodyTimeoutMs: 2_000 };
 
 async function withServer(
   respond: (socket: Socket) => void,
@@ -27,14 +27,14 @@
 
 async function readText(origin: string): Promise<{ text: string; error: string | undefined }> {
   const never = new AbortController().signal;
-  const connection = new FreshCall(origin, new SystemClock(), TIMEOUTS, never);
+  const connection = new DedicatedConnection(origin, new SystemClock(), TIMEOUTS, never);
   let text = '';
   try {
     const res = await connection.send({ method: 'GET', path: '/', headers: {} });
     for await (const chunk of connection.read(res)) text += Buffer.from(chunk).toString();
     return { text, error: undefined };
   } catch (thrown) {
-    return { text, error: connection.errorOf(thrown).type };
+    return { text, error: connection.classifyError(thrown).type };
   } finally {
     connection.close();
   }
@@ -86,7 +86,7 @@
 
 // Nothing listens at the address of a stopped server: nothing was sent, so another server may be tried.
 test('a refused connection counts as not dispatched', async () => {
-  const connection = new FreshCall(
+  const connection = new DedicatedConnection(
     'http://127.0.0.1:1',
     new SystemClock(),
     TIMEOUTS,
@@ -94,7 +94,7 @@
   );
   const error = await connection.send({ method: 'GET', path: '/', headers: {} }).then(
     () => undefined,
-    (thrown: unknown) => connection.errorOf(thrown),
+    (thrown: unknown) => connection.classifyError(thrown),
   );
   connection.close();
   assert.equal(error?.type, 'unreachable');
