--- a/packages/router/tests/coordination/PeerGossip.test.ts
+++ b/packages/router/tests/coordination/PeerGossip.test.ts
@@ -179,7 +179,9 @@
       Object.assign(first ?? {}, { moves: [{ engine: 'e', role: 'decode', leftMs: 9_000 }] });
       await advanceUnderLoad(fleet, 1_000);
       const now = fleet.clock.now();
-      const unaware = others.filter((host) => host.roleChanges.getTargetRole('e', now) !== 'decode');
+      const unaware = others.filter(
+        (host) => host.roleChanges.getTargetRole('e', now) !== 'decode',
+      );
       assert.deepEqual(
         unaware.map((host) => host.name),
         [],
