--- a/packages/operator/src/declarations/DeclarationError.ts
+++ b/packages/operator/src/declarations/DeclarationError.ts
@@ -1,41 +1,42 @@
-/** One fault of a declarations file, told so that the operator finds and mends it. */
+/** A validation error of a declarations file. */
 export interface DeclarationError {
-  /** Name of the file as the operator gave it. */
+  /** File name as given by the operator. */
   readonly file: string;
-  /** Line of the key, or of the nearest table around it; absent where it can't be told. */
+  /** Line of the key or of the nearest enclosing table; absent if unknown. */
   readonly line?: number;
-  /** The key, such as `pools[1].engines[0].url`; empty where the whole file is meant. */
+  /** The key, such as `pools[1].engines[0].url`; empty if the error concerns the whole file. */
   readonly key: string;
-  /** What the file holds there; never a caller's key. */
+  /** Description of the value found; never contains a caller's key. */
   readonly found: string;
+  /** Description of the valid values. */
   readonly expected: string;
 }
 
 /**
- * Gets one line of text for an error.
+ * Formats an error as one line.
  *
  * @param error - The error.
  * @returns `file:line: key: found …, expected …`.
  */
 export function describeDeclarationError(error: DeclarationError): string {
-  const place = error.line === undefined ? error.file : `${error.file}:${error.line}`;
+  const location = error.line === undefined ? error.file : `${error.file}:${error.line}`;
   const key = error.key === '' ? '' : `${error.key}: `;
-  return `${place}: ${key}found ${error.found}, expected ${error.expected}`;
+  return `${location}: ${key}found ${error.found}, expected ${error.expected}`;
 }
 
-/** Longest text that is repeated in an error; a pasted file must not fill the terminal. */
-const MAX_ECHO = 60;
+/** Longest value quoted in an error, in characters; a pasted file must not fill the terminal. */
+const MAX_QUOTED_LENGTH = 60;
 
-/** What keys of callers start with; see `newKey`. */
+/** Prefix of callers' keys; see `newKey`. */
 const KEY_PREFIX = 'cvk_';
 
 const URL_WITH_PASSWORD = /\/\/[^/]*@/;
 
 /**
- * Gets a description of a value for an error.
+ * Describes a value for an error message.
  *
- * @param value - Anything that TOML can hold.
- * @returns A short text; a caller's key that was pasted by mistake is not repeated.
+ * @param value - A TOML value.
+ * @returns A short description; a caller's key or a URL with a password is not quoted.
  */
 export function describeFound(value: unknown): string {
   if (value === undefined) return 'nothing';
@@ -49,5 +50,7 @@
 function describeText(text: string): string {
   if (text.includes(KEY_PREFIX)) return 'a key (not shown)';
   if (URL_WITH_PASSWORD.test(text)) return 'a URL with a password (not shown)';
-  return JSON.stringify(text.length > MAX_ECHO ? `${text.slice(0, MAX_ECHO)}…` : text);
+  return JSON.stringify(
+    text.length > MAX_QUOTED_LENGTH ? `${text.slice(0, MAX_QUOTED_LENGTH)}…` : text,
+  );
 }
--- a/packages/operator/src/declarations/checkReferences.ts
+++ b/packages/operator/src/declarations/checkReferences.ts
@@ -1,43 +1,50 @@
 import type { RoutingConfig } from '@camphorvane/core';
 import type { DeclarationPath } from './DeclarationLines.ts';
 
-/** A fault that shows only when parts of a configuration are held against each other. */
+/** A validation error of a configuration, before it is located in a file. */
 export interface ReferenceFault {
+  /** Path in the declarations. */
   readonly path: DeclarationPath;
+  /** Description of what was found. */
   readonly found: string;
+  /** Description of what is valid. */
   readonly expected: string;
 }
 
-interface Named {
+interface NamedEntry {
   readonly path: DeclarationPath;
   readonly name: string;
 }
 
 /**
- * Checks that names are unique and that what is referred to exists.
+ * Validates a configuration as a whole: names, keys and URLs are unique, references resolve, pools have
+ * engines of both roles, and services have servers.
  *
- * @param config - A configuration whose parts are well formed.
- * @returns Every fault; empty when the configuration may be applied.
+ * @param config - A configuration that conforms to the schema.
+ * @returns All errors; empty if the configuration is valid.
  */
 export function checkReferences(config: RoutingConfig): readonly ReferenceFault[] {
   return [
-    ...duplicates(teamNames(config), 'a team of another name'),
-    ...duplicates(keyDigests(config), 'a key that no other entry holds'),
-    ...duplicates(modelNames(config), 'one pool for each model'),
-    ...duplicates(upstreams(config, 'id'), 'an engine or server of another name'),
-    ...duplicates(upstreams(config, 'url'), 'an address that no other engine or server has'),
-    ...duplicates(serviceNames(config), 'a service of another name'),
-    ...duplicates(routes(config), 'one route for each method and path'),
-    ...duplicates(rules(config), 'one rule for each team, model and class; the first one counts'),
-    ...danglingModels(config),
-    ...danglingRules(config),
-    ...danglingZones(config),
-    ...unusablePools(config),
-    ...unusableServices(config),
+    ...duplicateNames(teamNames(config), 'a unique team name'),
+    ...duplicateNames(keyDigests(config), 'a key digest that occurs once'),
+    ...duplicateNames(modelNames(config), 'one pool per model'),
+    ...duplicateNames(upstreams(config, 'id'), 'a unique engine or server name'),
+    ...duplicateNames(upstreams(config, 'url'), 'an address used by no other engine or server'),
+    ...duplicateNames(serviceNames(config), 'a unique service name'),
+    ...duplicateNames(routes(config), 'one route per method and path'),
+    ...duplicateNames(rules(config), 'one rule per team, model and class; the first match applies'),
+    ...unknownTeamModels(config),
+    ...unknownRuleReferences(config),
+    ...unknownDrainedZones(config),
+    ...poolsWithMissingRole(config),
+    ...servicesWithoutServers(config),
   ];
 }
 
-function duplicates(entries: readonly Named[], expected: string): readonly ReferenceFault[] {
+function duplicateNames(
+  entries: readonly NamedEntry[],
+  expected: string,
+): readonly ReferenceFault[] {
   const seen = new Set<string>();
   return entries.flatMap(({ path, name }) => {
     if (seen.has(name)) return [{ path, found: `${name} a second time`, expected }];
@@ -46,23 +53,23 @@
   });
 }
 
-function teamNames(config: RoutingConfig): readonly Named[] {
+function teamNames(config: RoutingConfig): readonly NamedEntry[] {
   return config.teams.map((team, i) => ({ path: ['teams', i, 'id'], name: team.id }));
 }
 
-/** A key that two teams hold would be charged to whichever a host happens to read last. */
-function keyDigests(config: RoutingConfig): readonly Named[] {
+/** If two teams declared one key, its requests would be charged to the team a host reads last. */
+function keyDigests(config: RoutingConfig): readonly NamedEntry[] {
   return config.teams.flatMap((team, i) =>
     team.keyDigests.map((name, k) => ({ path: ['teams', i, 'key_digests', k], name })),
   );
 }
 
-function modelNames(config: RoutingConfig): readonly Named[] {
+function modelNames(config: RoutingConfig): readonly NamedEntry[] {
   return config.pools.map((pool, i) => ({ path: ['pools', i, 'model'], name: pool.model }));
 }
 
-/** An engine listed twice would have its memory counted twice, and be filled twice over. */
-function upstreams(config: RoutingConfig, field: 'id' | 'url'): readonly Named[] {
+/** The memory of an engine listed twice would be counted, and overcommitted, twice. */
+function upstreams(config: RoutingConfig, field: 'id' | 'url'): readonly NamedEntry[] {
   const engines = config.pools.flatMap((pool, i) =>
     pool.engines.map((engine, k) => ({
       path: ['pools', i, 'engines', k, field],
@@ -78,11 +85,11 @@
   return [...engines, ...servers];
 }
 
-function serviceNames(config: RoutingConfig): readonly Named[] {
+function serviceNames(config: RoutingConfig): readonly NamedEntry[] {
   return config.services.map((service, i) => ({ path: ['services', i, 'id'], name: service.id }));
 }
 
-function routes(config: RoutingConfig): readonly Named[] {
+function routes(config: RoutingConfig): readonly NamedEntry[] {
   return config.services.flatMap((service, i) =>
     service.routes.map((route, k) => ({
       path: ['services', i, 'routes', k, 'path'],
@@ -91,53 +98,57 @@
   );
 }
 
-function rules(config: RoutingConfig): readonly Named[] {
+function rules(config: RoutingConfig): readonly NamedEntry[] {
   return config.waitRules.map((rule, i) => ({
     path: ['wait_rules', i],
     name: `team ${rule.team ?? '(all)'}, model ${rule.model ?? '(all)'}, class ${rule.class}`,
   }));
 }
 
-function danglingModels(config: RoutingConfig): readonly ReferenceFault[] {
+function unknownTeamModels(config: RoutingConfig): readonly ReferenceFault[] {
   const models = new Set(config.pools.map((pool) => pool.model));
   return config.teams.flatMap((team, i) =>
     team.models.flatMap((model, k) =>
-      models.has(model) ? [] : [dangling(['teams', i, 'models', k], model, 'model of a pool')],
+      models.has(model)
+        ? []
+        : [unknownReference(['teams', i, 'models', k], model, 'model of a pool')],
     ),
   );
 }
 
-function danglingRules(config: RoutingConfig): readonly ReferenceFault[] {
+function unknownRuleReferences(config: RoutingConfig): readonly ReferenceFault[] {
   const models = new Set(config.pools.map((pool) => pool.model));
   const teams = new Set(config.teams.map((team) => team.id));
   return config.waitRules.flatMap((rule, i) => [
     ...(rule.team === undefined || teams.has(rule.team)
       ? []
-      : [dangling(['wait_rules', i, 'team'], rule.team, 'team')]),
+      : [unknownReference(['wait_rules', i, 'team'], rule.team, 'team')]),
     ...(rule.model === undefined || models.has(rule.model)
       ? []
-      : [dangling(['wait_rules', i, 'model'], rule.model, 'model of a pool')]),
+      : [unknownReference(['wait_rules', i, 'model'], rule.model, 'model of a pool')]),
   ]);
 }
 
-/** A zone that is misspelt would be thought drained, and go on getting requests. */
-function danglingZones(config: RoutingConfig): readonly ReferenceFault[] {
-  const all = [
+/** A misspelt zone would be believed drained and still receive requests. */
+function unknownDrainedZones(config: RoutingConfig): readonly ReferenceFault[] {
+  const upstreamConfigs = [
     ...config.pools.flatMap((pool) => pool.engines),
     ...config.services.flatMap((service) => service.servers),
   ];
-  const zones = new Set(all.map(({ zone }) => zone));
+  const zones = new Set(upstreamConfigs.map(({ zone }) => zone));
   return (config.drainedZones ?? []).flatMap((zone, i) =>
-    zones.has(zone) ? [] : [dangling(['drained_zones', i], zone, 'zone of an engine or server')],
+    zones.has(zone)
+      ? []
+      : [unknownReference(['drained_zones', i], zone, 'zone of an engine or server')],
   );
 }
 
-function dangling(path: DeclarationPath, name: string, what: string): ReferenceFault {
+function unknownReference(path: DeclarationPath, name: string, what: string): ReferenceFault {
   return { path, found: JSON.stringify(name), expected: `the name of a declared ${what}` };
 }
 
-/** A pool without one of the roles would accept requests that it can never finish. */
-function unusablePools(config: RoutingConfig): readonly ReferenceFault[] {
+/** A pool without prefill or decode engines would accept requests that it can never finish. */
+function poolsWithMissingRole(config: RoutingConfig): readonly ReferenceFault[] {
   return config.pools.flatMap((pool, i) =>
     (['prefill', 'decode'] as const)
       .filter((role) => !pool.engines.some((engine) => engine.role === role))
@@ -149,7 +160,7 @@
   );
 }
 
-function unusableServices(config: RoutingConfig): readonly ReferenceFault[] {
+function servicesWithoutServers(config: RoutingConfig): readonly ReferenceFault[] {
   return config.services
     .map((service, i) => ({ service, i }))
     .filter(({ service }) => service.servers.length === 0)
--- a/packages/operator/src/declarations/declarationSchema.ts
+++ b/packages/operator/src/declarations/declarationSchema.ts
@@ -15,20 +15,20 @@
 const DIGEST = /^[0-9a-f]{64}$/;
 const ROUTE_PATH = /^\/[A-Za-z0-9._~/-]{0,199}$/;
 
-/** Checks a whole number; NaN, fractions and infinities are told apart from nothing else. */
-function whole(low: number, high: number) {
+/** Accepts integers in a range; NaN, infinities and fractions give the same error as others. */
+function integer(low: number, high: number) {
   const error = `a whole number from ${low} to ${high}`;
   return z.int({ error }).min(low, { error }).max(high, { error });
 }
 
-function amount(low: number, high: number) {
+function numberInRange(low: number, high: number) {
   const error = `a number from ${low} to ${high}`;
   return z.number({ error }).min(low, { error }).max(high, { error });
 }
 
 function id() {
   const error =
-    'a name of 1 to 100 letters, digits and . _ : / -, that starts with a letter or digit';
+    'a name of 1 to 100 letters, digits and . _ : / - that starts with a letter or digit';
   return z.string({ error }).regex(ID, { error });
 }
 
@@ -46,13 +46,14 @@
   return z.boolean({ error: 'true or false' });
 }
 
-/** Hosts connect by IP number: a name would bring a resolver into the path of every dispatch. */
+/** Accepts only IP addresses: a host name would add a DNS lookup to every dispatch. */
 function isAddress(text: string): boolean {
   if (!URL.canParse(text)) return false;
   const url = new URL(text);
   const host = url.hostname.replace(/^\[|\]$/g, '');
-  const bare = url.username === '' && url.password === '' && url.search === '' && url.hash === '';
-  return url.protocol === 'http:' && isIP(host) > 0 && url.pathname === '/' && bare;
+  const hasNoExtras =
+    url.username === '' && url.password === '' && url.search === '' && url.hash === '';
+  return url.protocol === 'http:' && isIP(host) > 0 && url.pathname === '/' && hasNoExtras;
 }
 
 function address() {
@@ -69,11 +70,11 @@
 
 const team = z.strictObject({
   id: id(),
-  tokens_per_second: whole(1, MAX_RATE),
-  burst_tokens: whole(1, MAX_BURST),
+  tokens_per_second: integer(1, MAX_RATE),
+  burst_tokens: integer(1, MAX_BURST),
   key_digests: list(digest(), MAX_KEYS, 'key digests').default([]),
   models: list(id(), MAX_ENTRIES, 'models').default([]),
-  weight: amount(0.01, 1000).default(1),
+  weight: numberInRange(0.01, 1000).default(1),
 });
 
 const engine = z.strictObject({
@@ -81,39 +82,39 @@
   url: address(),
   zone: id(),
   role: choice(['prefill', 'decode']),
-  memory_pieces: whole(1, MAX_PIECES),
+  memory_pieces: integer(1, MAX_PIECES),
   checks_fencing: flag(),
 });
 
 const pool = z.strictObject({
   model: id(),
-  max_tokens: whole(1, MAX_TOKENS),
-  ttft_target_ms: whole(1, MAX_MILLIS),
-  itl_target_ms: whole(1, MAX_MILLIS),
-  link_pieces_per_second: amount(0.001, MAX_RATE),
+  max_tokens: integer(1, MAX_TOKENS),
+  ttft_target_ms: integer(1, MAX_MILLIS),
+  itl_target_ms: integer(1, MAX_MILLIS),
+  link_pieces_per_second: numberInRange(0.001, MAX_RATE),
   engines: list(engine, MAX_ENTRIES, 'engines'),
 });
 
-const routePath = 'a path that starts with / and holds letters, digits and . _ ~ / -';
+const routePath = 'a path that starts with / and contains only letters, digits and . _ ~ / -';
 
 const route = z.strictObject({
   method: choice(['GET', 'POST', 'PUT', 'DELETE']),
   path: z.string({ error: routePath }).regex(ROUTE_PATH, { error: routePath }),
   idempotent: flag(),
   class: workClass,
-  cost_tokens: whole(0, MAX_TOKENS),
+  cost_tokens: integer(0, MAX_TOKENS),
 });
 
 const server = z.strictObject({
   id: id(),
   url: address(),
   zone: id(),
-  max_concurrent: whole(1, 1_000_000),
+  max_concurrent: integer(1, 1_000_000),
 });
 
 const service = z.strictObject({
   id: id(),
-  timeout_ms: whole(1, MAX_MILLIS),
+  timeout_ms: integer(1, MAX_MILLIS),
   servers: list(server, MAX_ENTRIES, 'servers'),
   routes: list(route, MAX_ENTRIES, 'routes'),
 });
@@ -122,10 +123,10 @@
   team: id().optional(),
   model: id().optional(),
   class: workClass,
-  max_wait_ms: whole(0, MAX_MILLIS),
+  max_wait_ms: integer(0, MAX_MILLIS),
 });
 
-/** Checks a declarations file after TOML; see docs/CONFIG.md. */
+/** Schema of a parsed declarations file; see docs/CONFIG.md. */
 export const declarationSchema = z.strictObject(
   {
     teams: list(team, MAX_TEAMS, 'teams').default([]),
@@ -137,5 +138,5 @@
   { error: 'a table' },
 );
 
-/** A declarations file, as TOML holds it. */
+/** A declarations file with its TOML keys. */
 export type Declarations = z.infer<typeof declarationSchema>;
--- a/packages/operator/src/declarations/parseDeclarations.ts
+++ b/packages/operator/src/declarations/parseDeclarations.ts
@@ -12,20 +12,20 @@
 type Parsed<T> = Result<T, readonly DeclarationError[]>;
 
 /**
- * Reads and checks declarations.
+ * Parses and validates declarations.
  *
  * @param text - The TOML text.
- * @param file - Name of the file, for errors.
- * @returns The configuration, or what is wrong, at most {@link MAX_ERRORS} errors.
+ * @param file - The file name for error messages.
+ * @returns The configuration, or its errors; those over {@link MAX_ERRORS} are counted in a last entry.
  */
 export function parseDeclarations(text: string, file: string): Parsed<RoutingConfig> {
   return checkSize(text, file)
     .andThen(() => readToml(text, file))
-    .andThen((raw) => checkShape(raw, text, file))
-    .andThen((config) => checkWhole(config, text, file));
+    .andThen((document) => validateSchema(document, text, file))
+    .andThen((config) => validateConfig(config, text, file));
 }
 
-/** Refuses what is far too large before any time or memory goes into parsing it. */
+/** Rejects oversized files before parsing, which would cost time and memory. */
 function checkSize(text: string, file: string): Parsed<void> {
   const bytes = Buffer.byteLength(text);
   if (bytes > MAX_FILE_BYTES) {
@@ -44,31 +44,31 @@
     return ok(parse(text));
   } catch (error) {
     if (!(error instanceof TomlError)) throw error;
-    // Only the first line: the library's excerpt of the file could show a key.
+    // Only the first line: the library's excerpt of the file could contain a caller's key.
     const found = error.message.split('\n')[0]!.replace('Invalid TOML document: ', '');
     return err([{ file, line: error.line, key: '', found, expected: 'valid TOML' }]);
   }
 }
 
-function checkShape(raw: unknown, text: string, file: string): Parsed<RoutingConfig> {
-  const parsed = declarationSchema.safeParse(raw);
+function validateSchema(document: unknown, text: string, file: string): Parsed<RoutingConfig> {
+  const parsed = declarationSchema.safeParse(document);
   if (parsed.success) return ok(routingConfigOf(parsed.data));
   const issues = firstOfEachPath(parsed.error.issues);
   return err(
-    located(
-      issues.flatMap((issue) => faultsOf(issue, raw)),
+    locateErrors(
+      issues.flatMap((issue) => faultsOf(issue, document)),
       text,
       file,
     ),
   );
 }
 
-function checkWhole(config: RoutingConfig, text: string, file: string): Parsed<RoutingConfig> {
+function validateConfig(config: RoutingConfig, text: string, file: string): Parsed<RoutingConfig> {
   const faults = checkReferences(config);
-  return faults.length === 0 ? ok(config) : err(located(faults, text, file));
+  return faults.length === 0 ? ok(config) : err(locateErrors(faults, text, file));
 }
 
-/** A value can break several rules at once; they share one sentence on what is expected. */
+/** Keeps one issue per value: the rules of a value share one message. */
 function firstOfEachPath(issues: readonly z.core.$ZodIssue[]): readonly z.core.$ZodIssue[] {
   const seen = new Set<string>();
   return issues.filter((issue) => {
@@ -79,9 +79,9 @@
   });
 }
 
-function faultsOf(issue: z.core.$ZodIssue, raw: unknown): readonly ReferenceFault[] {
+function faultsOf(issue: z.core.$ZodIssue, document: unknown): readonly ReferenceFault[] {
   if (issue.code !== 'unrecognized_keys') {
-    const found = describeFound(valueAt(raw, issue.path));
+    const found = describeFound(valueAt(document, issue.path));
     return [{ path: issue.path, found, expected: issue.message }];
   }
   return issue.keys.map((key) => ({
@@ -91,14 +91,14 @@
   }));
 }
 
-function valueAt(raw: unknown, path: DeclarationPath): unknown {
+function valueAt(document: unknown, path: DeclarationPath): unknown {
   return path.reduce<unknown>(
     (value, key) => (value as Readonly<Record<PropertyKey, unknown>> | undefined)?.[key],
-    raw,
+    document,
   );
 }
 
-function located(
+function locateErrors(
   faults: readonly ReferenceFault[],
   text: string,
   file: string,
@@ -107,16 +107,16 @@
   const errors = faults.slice(0, MAX_ERRORS).map((fault) => ({
     file,
     line: lines.getLine(fault.path),
-    key: keyOf(fault.path),
+    key: formatPath(fault.path),
     found: fault.found,
     expected: fault.expected,
   }));
-  const more = faults.length - errors.length;
-  if (more <= 0) return errors;
-  return [...errors, { file, key: '', found: `${more} more errors`, expected: 'none' }];
+  const omitted = faults.length - errors.length;
+  if (omitted <= 0) return errors;
+  return [...errors, { file, key: '', found: `${omitted} more errors`, expected: 'none' }];
 }
 
-function keyOf(path: DeclarationPath): string {
+function formatPath(path: DeclarationPath): string {
   return path.reduce<string>((key, part) => {
     if (typeof part === 'number') return `${key}[${part}]`;
     return key === '' ? String(part) : `${key}.${String(part)}`;
--- a/packages/operator/src/declarations/routingConfigOf.ts
+++ b/packages/operator/src/declarations/routingConfigOf.ts
@@ -2,10 +2,10 @@
 import type { Declarations } from './declarationSchema.ts';
 
 /**
- * Gets the configuration that declarations stand for.
+ * Converts declarations to a routing configuration.
  *
- * @param declarations - Checked declarations.
- * @returns The configuration, in the order of the declarations.
+ * @param declarations - Declarations that conform to the schema.
+ * @returns The configuration, with entries in the order of the declarations.
  */
 export function routingConfigOf(declarations: Declarations): RoutingConfig {
   return {
@@ -59,10 +59,10 @@
 }
 
 /**
- * Gets the declarations that stand for a configuration; the inverse of {@link routingConfigOf}.
+ * Converts a routing configuration to declarations; the inverse of {@link routingConfigOf}.
  *
  * @param config - The configuration.
- * @returns Declarations whose keys stand in the order of docs/CONFIG.md.
+ * @returns Declarations with their keys in the order of docs/CONFIG.md.
  */
 export function declarationsOf(config: RoutingConfig): Declarations {
   return {
--- a/packages/operator/tests/declarations/documentation.test.ts
+++ b/packages/operator/tests/declarations/documentation.test.ts
@@ -4,10 +4,10 @@
 import { test } from 'node:test';
 import { parseDeclarations } from '@camphorvane/operator';
 
-const PAGE = path.join(import.meta.dirname, '../../../../docs/CONFIG.md');
+const CONFIG_PAGE = path.join(import.meta.dirname, '../../../../docs/CONFIG.md');
 
-test('the example of docs/CONFIG.md is a configuration without faults', () => {
-  const toml = /```toml\n([\s\S]*?)```/.exec(readFileSync(PAGE, 'utf8'))?.[1];
+test('the example in docs/CONFIG.md is valid', () => {
+  const toml = /```toml\n([\s\S]*?)```/.exec(readFileSync(CONFIG_PAGE, 'utf8'))?.[1];
   assert.ok(toml !== undefined);
   const parsed = parseDeclarations(toml, 'docs/CONFIG.md');
   assert.ok(parsed.isOk(), JSON.stringify(parsed.isErr() && parsed.error));
--- a/packages/operator/tests/declarations/parseDeclarations.test.ts
+++ b/packages/operator/tests/declarations/parseDeclarations.test.ts
@@ -8,18 +8,18 @@
 } from '@camphorvane/operator';
 import { DIGEST, TOML } from '../support/declarations.ts';
 
-const faults = (text: string): readonly string[] =>
+const parseErrors = (text: string): readonly string[] =>
   parseDeclarations(text, 'fleet.toml').match(
     () => [],
     (errors) => errors.map(describeDeclarationError),
   );
 
-const edited = (from: string, to: string): readonly string[] => {
+const errorsAfterEdit = (from: string, to: string): readonly string[] => {
   assert.ok(TOML.includes(from));
-  return faults(TOML.replace(from, to));
+  return parseErrors(TOML.replace(from, to));
 };
 
-test('a whole file becomes a configuration, and goes back to the same declarations', () => {
+test('a complete file parses, and its configuration survives a round trip through declarations', () => {
   const parsed = parseDeclarations(TOML, 'fleet.toml');
   assert.ok(parsed.isOk());
   assert.equal(parsed.value.teams[0]?.weight, 1);
@@ -27,11 +27,11 @@
   assert.deepEqual(routingConfigOf(declarationsOf(parsed.value)), parsed.value);
 });
 
-test('an empty file is a configuration without teams', () => {
-  assert.deepEqual(faults(''), []);
+test('an empty file is valid', () => {
+  assert.deepEqual(parseErrors(''), []);
 });
 
-test('each bad value is named with its line, key, what was found and what is expected', () => {
+test('each invalid value is reported with its line, key, found value and expected values', () => {
   const cases: readonly (readonly [string, string, string])[] = [
     ['= 4000', '= nan', '4: teams[0].tokens_per_second: found NaN, expected a whole number'],
     ['= 4000', '= -1', '4: teams[0].tokens_per_second: found -1, expected a whole number'],
@@ -55,25 +55,25 @@
     [DIGEST, DIGEST.toUpperCase(), '6: teams[0].key_digests[0]: found'],
   ];
   cases.forEach(([from, to, expected]) => {
-    const found = edited(from, to);
+    const found = errorsAfterEdit(from, to);
     assert.equal(found.length, 1, found.join('\n'));
     assert.ok(found[0]?.startsWith(`fleet.toml:${expected}`), found[0]);
   });
 });
 
-test('a key pasted in place of its digest is refused and not repeated', () => {
-  // An operator pastes the key itself. If the error showed it, it would stay in the logs of the
-  // pipeline that applies the file, for everyone who may read them.
-  const found = edited(DIGEST, 'cvk_0123456789abcdef');
+test('a key pasted in place of its digest is rejected and not quoted in the error', () => {
+  // If the error quoted the key, it would remain in the logs of the deployment pipeline, readable by
+  // everyone with access to them.
+  const found = errorsAfterEdit(DIGEST, 'cvk_0123456789abcdef');
   assert.equal(found.length, 1);
   assert.ok(!found[0]?.includes('0123456789abcdef'), found[0]);
-  const syntax = faults(TOML.replace(`"${DIGEST}"`, 'cvk_0123456789abcdef'));
+  const syntax = parseErrors(TOML.replace(`"${DIGEST}"`, 'cvk_0123456789abcdef'));
   assert.ok(!syntax.join().includes('0123456789abcdef'), syntax.join());
 });
 
-test('references that lead nowhere and names that stand twice are each named', () => {
-  // A model is retired while a team still names it, or a block is copied and not renamed. Hosts
-  // would refuse that team's requests, or fill an engine twice over, without anyone knowing why.
+test('dangling references and duplicate names are each reported', () => {
+  // A team still references a removed model, or a block is copied without renaming it. Hosts would refuse
+  // the team's requests, or overcommit an engine twofold, without a visible cause.
   const cases: readonly (readonly [string, string, string])[] = [
     ['models = ["lab-8b"]', 'models = ["lab-9b"]', '7: teams[0].models[0]: found "lab-9b"'],
     ['class = "summary"', 'class = "summary"\nteam = "x"', 'wait_rules[0].team: found "x"'],
@@ -88,32 +88,32 @@
     [`["${DIGEST}"]`, `["${DIGEST}", "${DIGEST}"]`, 'teams[0].key_digests[1]: found'],
   ];
   cases.forEach(([from, to, expected]) => {
-    const found = edited(from, to);
+    const found = errorsAfterEdit(from, to);
     assert.equal(found.length, 1, found.join('\n'));
     assert.ok(found[0]?.includes(expected), found[0]);
   });
 });
 
-test('text that is no TOML is told with its line', () => {
+test('invalid TOML is reported with its line', () => {
   assert.match(
-    faults('[[teams]]\nid = \n')[0] ?? '',
+    parseErrors('[[teams]]\nid = \n')[0] ?? '',
     /^fleet\.toml:2: found .*, expected valid TOML/,
   );
 });
 
-test('a million teams are refused before they are parsed', () => {
-  // A script that generates the file runs away. Parsing the result would hold the operator's
-  // pipeline for minutes and could take the machine's memory.
+test('a file with a million teams is rejected before parsing', () => {
+  // Parsing a runaway generated file would block the deployment pipeline for minutes and could exhaust
+  // the memory of the machine.
   const million = '[[teams]]\nid="t"\n'.repeat(1_000_000);
-  assert.deepEqual(faults(million), [
+  assert.deepEqual(parseErrors(million), [
     'fleet.toml: teams: found 1000000 teams, expected at most 50000',
   ]);
-  assert.match(faults('#'.repeat(25 * 1024 * 1024))[0] ?? '', /expected at most \d+ bytes/);
+  assert.match(parseErrors('#'.repeat(25 * 1024 * 1024))[0] ?? '', /expected at most \d+ bytes/);
 });
 
-test('a file with very many faults reports a bounded number of them', () => {
+test('the number of reported errors is bounded', () => {
   const bad = '[[teams]]\nid="t"\ntokens_per_second=-1\nburst_tokens=1\n'.repeat(5000);
-  const found = faults(bad);
+  const found = parseErrors(bad);
   assert.equal(found.length, 101);
   assert.equal(found.at(-1), 'fleet.toml: found 4900 more errors, expected none');
 });
--- a/packages/operator/tests/support/declarations.ts
+++ b/packages/operator/tests/support/declarations.ts
@@ -1,9 +1,9 @@
 import { sha256Hex } from '@camphorvane/core';
 
-/** The digest of a key that exists only in tests. */
+/** The digest of a test key. */
 export const DIGEST = sha256Hex('cvk_test');
 
-/** A small whole file, as an operator of one laboratory would write it. */
+/** A small, complete declarations file. */
 export const TOML = `
 [[teams]]
 id = "harbour"
