--- a/packages/operator/src/builder/ConfigBuilder.ts
+++ b/packages/operator/src/builder/ConfigBuilder.ts
@@ -15,7 +15,7 @@
 import { toToml } from './toToml.ts';
 
 /**
- * Builds a configuration in code and prints it as the TOML that `camphorvane apply` takes.
+ * Builds a configuration in code and prints it as TOML for `camphorvane apply`.
  *
  * @example
  * const fleet = new ConfigBuilder();
@@ -36,8 +36,8 @@
   /**
    * Adds a team.
    *
-   * @param structure - The team.
-   * @returns Its builder.
+   * @param structure - The team's settings.
+   * @returns The team's builder.
    */
   addTeam(structure: TeamStructure): TeamBuilder {
     const team = new TeamBuilder(structure);
@@ -48,8 +48,8 @@
   /**
    * Adds the pool of a model.
    *
-   * @param structure - The pool without its engines.
-   * @returns Its builder.
+   * @param structure - The pool's settings, without engines.
+   * @returns The pool's builder.
    */
   addPool(structure: PoolStructure): PoolBuilder {
     const pool = new PoolBuilder(structure);
@@ -60,8 +60,8 @@
   /**
    * Adds a plain service.
    *
-   * @param structure - The service without its servers and routes.
-   * @returns Its builder.
+   * @param structure - The service's settings, without servers and routes.
+   * @returns The service's builder.
    */
   addService(structure: ServiceStructure): ServiceBuilder {
     const service = new ServiceBuilder(structure);
@@ -70,7 +70,7 @@
   }
 
   /**
-   * Adds a rule for how long requests of a class may wait; the first rule that matches counts.
+   * Adds a queue wait limit for requests of a class; the first matching rule applies.
    *
    * @param rule - The rule.
    */
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Takes the upstreams of an availability zone out of use; what runs there ends in its time.
+   * Stops new dispatches to the upstreams of an availability zone; requests in flight complete.
    *
    * @param zone - The zone.
    */
@@ -90,73 +90,73 @@
   }
 
   /**
-   * Gets a team.
+   * Gets the builder of a team.
    *
-   * @param id - Its name.
-   * @returns Its builder, or undefined where there is none.
+   * @param id - The team's name.
+   * @returns The builder, or undefined if there is no such team.
    */
   getTeam(id: TeamId): TeamBuilder | undefined {
     return this.teams.find((team) => team.getId() === id);
   }
 
   /**
-   * Gets a team, or throws where there is none of that name.
+   * Gets the builder of a team, or throws if there is no such team.
    *
-   * @param id - Its name.
+   * @param id - The team's name.
    */
   getTeamOrThrow(id: TeamId): TeamBuilder {
-    return found(this.getTeam(id), `team ${id}`);
+    return orThrow(this.getTeam(id), `team ${id}`);
   }
 
   /**
-   * Gets the pool of a model.
+   * Gets the builder of the pool of a model.
    *
    * @param model - The model.
-   * @returns Its builder, or undefined where there is none.
+   * @returns The builder, or undefined if there is no such pool.
    */
   getPool(model: ModelId): PoolBuilder | undefined {
     return this.pools.find((pool) => pool.getModel() === model);
   }
 
   /**
-   * Gets the pool of a model, or throws where there is none.
+   * Gets the builder of the pool of a model, or throws if there is no such pool.
    *
    * @param model - The model.
    */
   getPoolOrThrow(model: ModelId): PoolBuilder {
-    return found(this.getPool(model), `pool ${model}`);
+    return orThrow(this.getPool(model), `pool ${model}`);
   }
 
   /**
-   * Gets a plain service.
+   * Gets the builder of a plain service.
    *
-   * @param id - Its name.
-   * @returns Its builder, or undefined where there is none.
+   * @param id - The service's name.
+   * @returns The builder, or undefined if there is no such service.
    */
   getService(id: ServiceId): ServiceBuilder | undefined {
     return this.services.find((service) => service.getId() === id);
   }
 
   /**
-   * Gets a plain service, or throws where there is none of that name.
+   * Gets the builder of a plain service, or throws if there is no such service.
    *
-   * @param id - Its name.
+   * @param id - The service's name.
    */
   getServiceOrThrow(id: ServiceId): ServiceBuilder {
-    return found(this.getService(id), `service ${id}`);
+    return orThrow(this.getService(id), `service ${id}`);
   }
 
   /**
-   * Takes a team away, with its keys.
+   * Removes a team with its keys.
    *
-   * @param id - Its name; one that is not there changes nothing.
+   * @param id - The team's name; an unknown name has no effect.
    */
   removeTeam(id: TeamId): this {
     this.teams = this.teams.filter((team) => team.getId() !== id);
     return this;
   }
 
-  /** Gets the configuration as it stands, unchecked. */
+  /** Gets the configuration without validating it. */
   build(): RoutingConfig {
     return {
       teams: this.teams.map((team) => team.build()),
@@ -167,22 +167,22 @@
     };
   }
 
-  /** Gets the configuration as TOML, the same bytes for the same input. */
+  /** Gets the configuration as TOML; the output is deterministic. */
   toToml(): string {
     return toToml(this.build());
   }
 
   /**
-   * Checks the configuration as `camphorvane check` does.
+   * Validates the configuration as `camphorvane check` does.
    *
-   * @returns The configuration, or what is wrong with it.
+   * @returns The configuration, or its errors.
    */
   check(): Result<RoutingConfig, readonly DeclarationError[]> {
     return parseDeclarations(this.toToml(), '(builder)');
   }
 }
 
-function found<T>(value: T | undefined, what: string): T {
+function orThrow<T>(value: T | undefined, what: string): T {
   if (value === undefined) throw new Error(`no ${what} in this configuration`);
   return value;
 }
--- a/packages/operator/src/builder/PoolBuilder.ts
+++ b/packages/operator/src/builder/PoolBuilder.ts
@@ -1,17 +1,17 @@
 import type { EngineConfig, ModelId, PoolConfig, UpstreamId } from '@camphorvane/core';
 
-/** What a pool is made of at first; engines are added one by one. */
+/** Settings of a new pool; engines are added one by one. */
 export type PoolStructure = Omit<PoolConfig, 'engines'>;
 
-/** What an engine is made of, in the pool's builder; it refuses old orders unless said otherwise. */
+/** Settings of a new engine; `checksFencing` defaults to true. */
 export type EngineStructure = Omit<EngineConfig, 'role' | 'checksFencing'> &
   Partial<Pick<EngineConfig, 'checksFencing'>>;
 
-/** The pool of one model, of a {@link ConfigBuilder}. */
+/** Builds the pool of one model in a {@link ConfigBuilder}. */
 export class PoolBuilder {
   private pool: PoolConfig;
 
-  /** @param structure - The pool as it is at first. */
+  /** @param structure - The pool's settings, without engines. */
   constructor(structure: PoolStructure) {
     this.pool = { ...structure, engines: [] };
   }
@@ -24,17 +24,17 @@
   /**
    * Gets an engine.
    *
-   * @param id - Its name.
-   * @returns The engine, or undefined where the pool has none of that name.
+   * @param id - The engine's name.
+   * @returns The engine, or undefined if the pool has no such engine.
    */
   getEngine(id: UpstreamId): EngineConfig | undefined {
     return this.pool.engines.find((engine) => engine.id === id);
   }
 
   /**
-   * Gets an engine, or throws where the pool has none of that name.
+   * Gets an engine, or throws if the pool has no such engine.
    *
-   * @param id - Its name.
+   * @param id - The engine's name.
    */
   getEngineOrThrow(id: UpstreamId): EngineConfig {
     const engine = this.getEngine(id);
@@ -43,27 +43,27 @@
   }
 
   /**
-   * Adds an engine that runs prompts.
+   * Adds an engine for the prefill stage.
    *
    * @param engine - The engine.
    */
   addPrefillEngine(engine: EngineStructure): this {
-    return this.add({ checksFencing: true, ...engine, role: 'prefill' });
+    return this.addEngine({ checksFencing: true, ...engine, role: 'prefill' });
   }
 
   /**
-   * Adds an engine that writes answers.
+   * Adds an engine for the decode stage.
    *
    * @param engine - The engine.
    */
   addDecodeEngine(engine: EngineStructure): this {
-    return this.add({ checksFencing: true, ...engine, role: 'decode' });
+    return this.addEngine({ checksFencing: true, ...engine, role: 'decode' });
   }
 
   /**
-   * Takes an engine out; one that the pool does not have changes nothing.
+   * Removes an engine.
    *
-   * @param id - Its name.
+   * @param id - The engine's name; an unknown name has no effect.
    */
   removeEngine(id: UpstreamId): this {
     const engines = this.pool.engines.filter((engine) => engine.id !== id);
@@ -71,12 +71,12 @@
     return this;
   }
 
-  /** Gets the pool as it stands. */
+  /** Gets the pool without validating it. */
   build(): PoolConfig {
     return this.pool;
   }
 
-  private add(engine: EngineConfig): this {
+  private addEngine(engine: EngineConfig): this {
     this.pool = { ...this.pool, engines: [...this.pool.engines, engine] };
     return this;
   }
--- a/packages/operator/src/builder/ServiceBuilder.ts
+++ b/packages/operator/src/builder/ServiceBuilder.ts
@@ -1,16 +1,16 @@
 import type { ServiceConfig, ServiceId, ServiceRoute, ServiceServer } from '@camphorvane/core';
 
-/** What a plain service is made of at first; servers and routes are added one by one. */
+/** Settings of a new plain service; servers and routes are added one by one. */
 export type ServiceStructure = Pick<ServiceConfig, 'id' | 'timeoutMs'>;
 
-/** A route whose repetition was decided by the method that adds it. */
+/** Settings of a new route; the method that adds it sets `idempotent`. */
 export type RouteStructure = Omit<ServiceRoute, 'idempotent'>;
 
-/** A plain service of a {@link ConfigBuilder}. */
+/** Builds a plain service in a {@link ConfigBuilder}. */
 export class ServiceBuilder {
   private service: ServiceConfig;
 
-  /** @param structure - The service as it is at first. */
+  /** @param structure - The service's settings, without servers and routes. */
   constructor(structure: ServiceStructure) {
     this.service = { ...structure, servers: [], routes: [] };
   }
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Adds a route whose calls may be repeated.
+   * Adds a route whose calls are idempotent and may be retried.
    *
    * @param route - The route.
    */
@@ -40,7 +40,7 @@
   }
 
   /**
-   * Adds a route whose calls run at most once and need an Idempotency-Key.
+   * Adds a route whose calls run at most once and require an Idempotency-Key.
    *
    * @param route - The route.
    */
@@ -48,7 +48,7 @@
     return this.addRoute({ ...route, idempotent: false });
   }
 
-  /** Gets the service as it stands. */
+  /** Gets the service without validating it. */
   build(): ServiceConfig {
     return this.service;
   }
--- a/packages/operator/src/builder/TeamBuilder.ts
+++ b/packages/operator/src/builder/TeamBuilder.ts
@@ -1,22 +1,25 @@
 import type { ModelId, TeamConfig, TeamId, TeamRate, Tokens } from '@camphorvane/core';
 
-/** What a team is made of; what is left out takes the value that the declarations default to. */
+/** Settings of a new team; omitted ones take the defaults of the declarations. */
 export interface TeamStructure {
   readonly id: TeamId;
-  /** Tokens a second over all hosts together. */
+  /** Rate in tokens per second, over all hosts. */
   readonly tokensPerSecond: Tokens;
-  /** Tokens that the team may use at once after it was idle. */
+  /** Tokens that the team may use at once after an idle period. */
   readonly burstTokens: Tokens;
+  /** Digests of the team's keys, from `newKey`. */
   readonly keyDigests?: readonly string[];
+  /** Models that the team may use; all if empty. */
   readonly models?: readonly ModelId[];
+  /** Weight in fair queueing, 1 by default. */
   readonly weight?: number;
 }
 
-/** A team of a {@link ConfigBuilder}. */
+/** Builds a team in a {@link ConfigBuilder}. */
 export class TeamBuilder {
   private team: TeamConfig;
 
-  /** @param structure - The team as it is at first. */
+  /** @param structure - The team's settings. */
   constructor(structure: TeamStructure) {
     const { id, tokensPerSecond, burstTokens, keyDigests, models, weight } = structure;
     this.team = {
@@ -41,7 +44,7 @@
   /**
    * Sets the rate.
    *
-   * @param tokensPerSecond - Tokens a second over all hosts together.
+   * @param tokensPerSecond - Tokens per second, over all hosts.
    */
   setRate(tokensPerSecond: Tokens): this {
     return this.change({ rate: { ...this.team.rate, tokensPerSecond } });
@@ -50,7 +53,7 @@
   /**
    * Sets the burst.
    *
-   * @param burstTokens - Tokens that the team may use at once after it was idle.
+   * @param burstTokens - Tokens that the team may use at once after an idle period.
    */
   setBurst(burstTokens: Tokens): this {
     return this.change({ rate: { ...this.team.rate, burstTokens } });
@@ -59,40 +62,40 @@
   /**
    * Sets the weight in fair queueing.
    *
-   * @param weight - 1 for an ordinary team.
+   * @param weight - The weight; the default is 1.
    */
   setWeight(weight: number): this {
     return this.change({ weight });
   }
 
   /**
-   * Gives the team a key.
+   * Adds a key.
    *
-   * @param digest - The key's digest, from `newKey`.
+   * @param digest - The digest of the key, from `newKey`.
    */
   addKeyDigest(digest: string): this {
     return this.change({ keyDigests: [...this.team.keyDigests, digest] });
   }
 
   /**
-   * Withdraws a key; one that the team does not hold changes nothing.
+   * Removes a key.
    *
-   * @param digest - The key's digest.
+   * @param digest - The digest of the key; an unknown digest has no effect.
    */
   removeKeyDigest(digest: string): this {
-    return this.change({ keyDigests: this.team.keyDigests.filter((held) => held !== digest) });
+    return this.change({ keyDigests: this.team.keyDigests.filter((other) => other !== digest) });
   }
 
   /**
-   * Restricts the team to the models that were allowed so; without any it may ask for all.
+   * Adds an allowed model; a team without any may use all models.
    *
-   * @param model - A model of a pool.
+   * @param model - The model of a pool.
    */
   allowModel(model: ModelId): this {
     return this.change({ models: [...this.team.models, model] });
   }
 
-  /** Gets the team as it stands. */
+  /** Gets the team without validating it. */
   build(): TeamConfig {
     return this.team;
   }
--- a/packages/operator/src/builder/newKey.ts
+++ b/packages/operator/src/builder/newKey.ts
@@ -1,6 +1,6 @@
 import { sha256Hex } from '@camphorvane/core';
 
-/** A caller's key as it is made: the key is shown once, the digest is what is declared. */
+/** A new caller's key; the key itself is shown once, and only its digest is declared. */
 export interface NewKey {
   /** `cvk_` and the random bytes in base64url. */
   readonly key: string;
@@ -8,17 +8,18 @@
   readonly digest: string;
 }
 
-/** What every key starts with, so that people and scanners recognise one that leaked. */
+/** Prefix of every key, by which people and secret scanners recognise a leaked one. */
 export const KEY_PREFIX = 'cvk_';
 
-/** Fewest random bytes of a key: 192 bits can't be guessed, whatever the digests are worth. */
+/** Fewest random bytes of a key; 192 bits resist guessing even with the digests known. */
 export const MIN_KEY_BYTES = 24;
 
 /**
- * Makes a key.
+ * Generates a caller's key.
  *
- * @param bytes - Bytes of a cryptographic random source, at least {@link MIN_KEY_BYTES}.
+ * @param bytes - Bytes from a cryptographic random source, at least {@link MIN_KEY_BYTES}.
  * @returns The key and its digest.
+ * @throws RangeError if there are too few bytes.
  */
 export function newKey(bytes: Uint8Array): NewKey {
   if (bytes.length < MIN_KEY_BYTES) {
--- a/packages/operator/src/builder/toToml.ts
+++ b/packages/operator/src/builder/toToml.ts
@@ -3,39 +3,39 @@
 import { declarationsOf } from '../declarations/routingConfigOf.ts';
 
 /**
- * Prints a configuration as declarations.
+ * Prints a configuration as declarations in TOML.
  *
  * @param config - The configuration.
- * @returns TOML, the same bytes for configurations that say the same; see docs/CONFIG.md.
+ * @returns TOML, identical for equivalent configurations; see docs/CONFIG.md.
  */
 export function toToml(config: RoutingConfig): string {
-  const declarations = declarationsOf(ordered(config));
-  const filled = Object.entries(declarations).filter(([, list]) => list.length > 0);
-  const text = stringify(Object.fromEntries(filled));
-  return filled.length === 0 ? '' : `${text.trimEnd()}\n`;
+  const declarations = declarationsOf(normalizeOrder(config));
+  const nonEmptyLists = Object.entries(declarations).filter(([, list]) => list.length > 0);
+  const text = stringify(Object.fromEntries(nonEmptyLists));
+  return nonEmptyLists.length === 0 ? '' : `${text.trimEnd()}\n`;
 }
 
-/** Order that means nothing is made alphabetical; routes and wait rules keep theirs. */
-function ordered(config: RoutingConfig): RoutingConfig {
+/** Sorts lists whose order is insignificant; routes and wait rules keep their order. */
+function normalizeOrder(config: RoutingConfig): RoutingConfig {
   return {
-    teams: sorted(config.teams, (team) => team.id).map((team) => ({
+    teams: sortByName(config.teams, (team) => team.id).map((team) => ({
       ...team,
       keyDigests: [...team.keyDigests].sort(),
       models: [...team.models].sort(),
     })),
-    pools: sorted(config.pools, (pool) => pool.model).map((pool) => ({
+    pools: sortByName(config.pools, (pool) => pool.model).map((pool) => ({
       ...pool,
-      engines: sorted(pool.engines, (engine) => engine.id),
+      engines: sortByName(pool.engines, (engine) => engine.id),
     })),
-    services: sorted(config.services, (service) => service.id).map((service) => ({
+    services: sortByName(config.services, (service) => service.id).map((service) => ({
       ...service,
-      servers: sorted(service.servers, (server) => server.id),
+      servers: sortByName(service.servers, (server) => server.id),
     })),
     waitRules: config.waitRules,
     drainedZones: [...(config.drainedZones ?? [])].sort(),
   };
 }
 
-function sorted<T>(items: readonly T[], name: (item: T) => string): readonly T[] {
+function sortByName<T>(items: readonly T[], name: (item: T) => string): readonly T[] {
   return [...items].sort((a, b) => (name(a) < name(b) ? -1 : 1));
 }
--- a/packages/operator/tests/builder/ConfigBuilder.test.ts
+++ b/packages/operator/tests/builder/ConfigBuilder.test.ts
@@ -5,13 +5,13 @@
 import fc from 'fast-check';
 import { TOML } from '../support/declarations.ts';
 
-function laboratory(reversed = false): ConfigBuilder {
+function buildFleet(hasReversedTeams = false): ConfigBuilder {
   const fleet = new ConfigBuilder();
   const teams = [
     { id: 'harbour', tokensPerSecond: 4000, burstTokens: 20_000 },
     { id: 'yard', tokensPerSecond: 100, burstTokens: 500, weight: 2 },
   ];
-  (reversed ? teams.toReversed() : teams).forEach((team) => fleet.addTeam(team));
+  (hasReversedTeams ? teams.toReversed() : teams).forEach((team) => fleet.addTeam(team));
   const targets = { ttftTargetMs: 730, itlTargetMs: 35, linkPiecesPerSecond: 400 };
   const engine = { zone: 'a', memoryPieces: 320 };
   fleet
@@ -26,8 +26,8 @@
   return fleet.addWaitRule({ class: 'summary', maxWaitMs: 60_000 });
 }
 
-test('what is built prints as declarations that check and read back as the same', () => {
-  const fleet = laboratory();
+test('the TOML of a builder is valid and parses back to the same configuration', () => {
+  const fleet = buildFleet();
   const parsed = fleet.check();
   assert.ok(parsed.isOk(), JSON.stringify(parsed.isErr() && parsed.error));
   assert.deepEqual(toToml(parsed.value), fleet.toToml());
@@ -35,8 +35,8 @@
   assert.equal(parsed.value.pools[0]?.engines.length, 2);
 });
 
-test('the same input gives the same bytes, in whatever order it was given', () => {
-  assert.equal(laboratory().toToml(), laboratory(true).toToml());
+test('the TOML does not depend on the order in which entries were added', () => {
+  assert.equal(buildFleet().toToml(), buildFleet(true).toToml());
   const parsed = parseDeclarations(TOML, 'fleet.toml');
   assert.ok(parsed.isOk());
   const printed = toToml(parsed.value);
@@ -45,12 +45,12 @@
   assert.equal(toToml(again.value), printed);
 });
 
-test('an empty builder prints an empty file', () => {
+test('the TOML of an empty builder is empty', () => {
   assert.equal(new ConfigBuilder().toToml(), '');
 });
 
-test('a fault in what was built is told as for a file', () => {
-  const fleet = laboratory();
+test('check reports errors of a built configuration as those of a file', () => {
+  const fleet = buildFleet();
   fleet.getTeamOrThrow('yard').setRate(Number.NaN).allowModel('lab-9b');
   const checked = fleet.check();
   assert.ok(checked.isErr());
@@ -59,8 +59,8 @@
   assert.equal(fleet.getTeam('nobody'), undefined);
 });
 
-test('keys are given and withdrawn by digest', () => {
-  const fleet = laboratory();
+test('keys are added and removed by digest', () => {
+  const fleet = buildFleet();
   const { key, digest } = newKey(Buffer.alloc(32, 7));
   fleet.getTeamOrThrow('yard').addKeyDigest(digest);
   assert.ok(fleet.toToml().includes(digest));
@@ -69,7 +69,7 @@
   assert.ok(!fleet.toToml().includes(digest));
 });
 
-test('a key is recognisable, and its digest is the one that hosts look up', () => {
+test('a key has the common prefix, and its digest is the SHA-256 that hosts look up', () => {
   fc.assert(
     fc.property(fc.uint8Array({ minLength: 24, maxLength: 64 }), (bytes) => {
       const { key, digest } = newKey(bytes);
