--- a/packages/operator/src/commands/CommandResult.ts
+++ b/packages/operator/src/commands/CommandResult.ts
@@ -1,22 +1,22 @@
-/** Exit codes of the operators' commands. */
+/** Exit codes of the operator commands. */
 export const EXIT = {
   ok: 0,
-  /** Refused, in conflict, or different. */
+  /** Refused, conflicting, or (for `diff`) different. */
   refused: 1,
   /** Wrong usage or invalid input. */
   invalid: 2,
-  /** The platform or the host does not answer, or the outcome is open. */
+  /** The platform or host is unavailable, or the outcome is unknown. */
   unavailable: 3,
 } as const;
 
-/** One of {@link EXIT}. */
+/** One of the codes of {@link EXIT}. */
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
 
-/** What a command has to say; the command line prints one of both forms and exits. */
+/** The result of a command; the command line prints one of its two forms and exits. */
 export interface CommandResult {
   readonly exitCode: ExitCode;
-  /** For a person, without a newline at its end. */
+  /** Text output, without a trailing newline. */
   readonly text: string;
-  /** For a program, printed with `--json`. */
+  /** JSON output, printed with `--json`. */
   readonly json: unknown;
 }
--- a/packages/operator/src/commands/declarationCommands.ts
+++ b/packages/operator/src/commands/declarationCommands.ts
@@ -14,59 +14,61 @@
 import { parseDeclarations } from '../declarations/parseDeclarations.ts';
 import { EXIT, type CommandResult, type ExitCode } from './CommandResult.ts';
 
-/** A file that an operator named on the command line. */
+/** A declarations file given on the command line. */
 export interface NamedText {
   readonly file: string;
   readonly text: string;
 }
 
-/** What `apply` was asked to do. */
+/** Arguments of `apply`. */
 export interface ApplyRequest {
   readonly declarations: NamedText;
-  /** Version that the change starts from. */
+  /** Version that the change is based on. */
   readonly baseVersion?: ObjectVersion;
-  /** The declarations before the change, instead of a version. */
+  /** The declarations before the change, as an alternative to `baseVersion`. */
   readonly baseDeclarations?: NamedText;
+  /** Whether to merge with changes made since the base. */
   readonly merge?: boolean;
-  /** Given again after an outcome that stayed open. */
+  /** Change id of an earlier run whose outcome is unknown. */
   readonly changeId?: string;
-  /** A text that was never used before, for a change that has no version to be named after. */
+  /** A unique id, used as the change id if neither `changeId` nor `baseVersion` is given. */
   readonly freshId: string;
 }
 
 /**
- * Checks declarations without the platform.
+ * Validates declarations without access to the platform.
  *
  * @param declarations - The file.
- * @returns Exit code 0, or 2 with every fault.
+ * @returns Exit code 0 if they are valid, or 2 with their errors.
  */
 export function checkCommand(declarations: NamedText): CommandResult {
-  return parse(declarations).match((config) => {
+  return parseFile(declarations).match((config) => {
     const { teams, pools, services } = config;
     const counts = { teams: teams.length, pools: pools.length, services: services.length };
-    const text = `${declarations.file}: ${counts.teams} teams, ${counts.pools} pools and ${counts.services} services, no faults`;
+    const text = `${declarations.file}: ${counts.teams} teams, ${counts.pools} pools and ${counts.services} services, no errors`;
     return { exitCode: EXIT.ok, text, json: { ok: true, ...counts } };
-  }, same);
+  }, identity);
 }
 
 /**
  * Compares declarations with the configuration in force.
  *
- * @param store - The platform.
+ * @param store - The platform's object store.
  * @param declarations - The file.
- * @returns Exit code 0 where both say the same, 1 where they differ, 2 or 3 on a failure.
+ * @returns Exit code 0 if there are no differences, 1 if there are, 2 if the declarations are invalid, 3
+ * if the configuration in force could not be read.
  */
 export async function diffCommand(
   store: ObjectStore,
   declarations: NamedText,
 ): Promise<CommandResult> {
-  const parsed = parse(declarations);
+  const parsed = parseFile(declarations);
   if (parsed.isErr()) return parsed.error;
   const accepted = await readAccepted(store);
   if (accepted.isErr()) return readFailure(accepted.error);
   const version = accepted.value?.version ?? 0;
   const changes = diffConfigs(accepted.value?.config ?? EMPTY_CONFIG, parsed.value);
-  const lines = [`version ${version} is in force`, ...changes.flatMap(describeChange)];
+  const lines = [`version ${version} is in force`, ...changes.flatMap(formatChange)];
   return {
     exitCode: changes.length === 0 ? EXIT.ok : EXIT.refused,
     text: changes.length === 0 ? `${lines[0]}; no differences` : lines.join('\n'),
@@ -77,35 +79,35 @@
 /**
  * Applies declarations.
  *
- * @param context - The platform, the time, and the spread of retries.
- * @param req - What to apply, and what it starts from.
- * @returns Exit code 0 where it is in force, 1 where it was refused, 2 where it is invalid, 3 where
- * the platform did not answer or the outcome is open.
+ * @param context - The object store, the clock and the source of retry jitter.
+ * @param req - The declarations, their base and the change id.
+ * @returns Exit code 0 if they were accepted, 1 if refused, 2 if invalid, 3 if the platform is
+ * unavailable or the outcome unknown.
  */
 export async function applyCommand(
   context: ApplyContext,
   req: ApplyRequest,
 ): Promise<CommandResult> {
-  const config = parse(req.declarations);
+  const config = parseFile(req.declarations);
   if (config.isErr()) return config.error;
-  const base = baseOf(req);
+  const base = resolveBase(req);
   if (base.isErr()) return base.error;
-  const changeId = req.changeId ?? derivedChangeId(req);
+  const changeId = req.changeId ?? deriveChangeId(req);
   const options = { changeId, base: base.value, merge: req.merge };
   const outcome = await applyConfig(context, config.value, options);
   return applyResult(outcome, changeId);
 }
 
 /**
- * Gets what a command prints of an apply.
+ * Converts the outcome of an apply to a command result.
  *
- * @param outcome - What became of it.
- * @param changeId - Name of the change.
- * @returns The text and the exit code of {@link applyCommand}.
+ * @param outcome - The outcome.
+ * @param changeId - The change id.
+ * @returns The output and an exit code as of {@link applyCommand}.
  */
 export function applyResult(outcome: Result<Applied, ApplyError>, changeId: string): CommandResult {
   return outcome.match(
-    (applied) => appliedResult(applied, changeId),
+    (applied) => successResult(applied, changeId),
     (error) => ({
       exitCode: exitCodeOf(error),
       text: describeApplyError(error),
@@ -115,48 +117,48 @@
 }
 
 /**
- * With a version as base the id follows from the input: running the same command again finds its own
- * change. Without one, the same file may rightly be applied again later, so the id is a new one.
+ * With a base version the id is a digest of the input, so that running the same command again finds its
+ * earlier change. Without one, the id is unique, since the same file may be applied again later.
  */
-function derivedChangeId(req: ApplyRequest): string {
+function deriveChangeId(req: ApplyRequest): string {
   if (req.baseVersion === undefined) return req.freshId;
   const merge = req.merge === true ? 'merge' : 'plain';
   return sha256Hex(`${req.baseVersion}\n${merge}\n${req.declarations.text}`).slice(0, 32);
 }
 
-function baseOf(req: ApplyRequest): Result<ApplyBase, CommandResult> {
+function resolveBase(req: ApplyRequest): Result<ApplyBase, CommandResult> {
   if (req.baseVersion !== undefined) return ok({ type: 'version', version: req.baseVersion });
   if (req.baseDeclarations === undefined) return ok({ type: 'none' });
-  return parse(req.baseDeclarations).map((config) => ({ type: 'config', config }));
+  return parseFile(req.baseDeclarations).map((config) => ({ type: 'config', config }));
 }
 
-function parse({ text, file }: NamedText): Result<RoutingConfig, CommandResult> {
-  return parseDeclarations(text, file).orElse((errors) => err(invalid(errors)));
+function parseFile({ text, file }: NamedText): Result<RoutingConfig, CommandResult> {
+  return parseDeclarations(text, file).orElse((errors) => err(invalidResult(errors)));
 }
 
-function invalid(errors: readonly DeclarationError[]): CommandResult {
+function invalidResult(errors: readonly DeclarationError[]): CommandResult {
   const text = errors.map(describeDeclarationError).join('\n');
   return { exitCode: EXIT.invalid, text, json: { ok: false, errors } };
 }
 
-function same(result: CommandResult): CommandResult {
+function identity(result: CommandResult): CommandResult {
   return result;
 }
 
-/** Gets what a command prints where the configuration in force could not be read. */
+/** Gets the command result for a configuration in force that could not be read. */
 export function readFailure(error: ReadError): CommandResult {
   return { exitCode: EXIT.unavailable, text: error.message, json: { ok: false, error } };
 }
 
-function appliedResult(applied: Applied, changeId: string): CommandResult {
-  const newer =
+function successResult(applied: Applied, changeId: string): CommandResult {
+  const supersededNote =
     applied.inForce > applied.version ? `; version ${applied.inForce} is in force since` : '';
-  const head = {
+  const summary = {
     applied: `version ${applied.version} is in force`,
-    already_applied: `this change was accepted before, as version ${applied.version}${newer}`,
+    already_applied: `this change was accepted before, as version ${applied.version}${supersededNote}`,
     unchanged: `nothing to change; version ${applied.version} is in force`,
   }[applied.outcome];
-  const text = [head, ...applied.changes.flatMap(describeChange)].join('\n');
+  const text = [summary, ...applied.changes.flatMap(formatChange)].join('\n');
   return { exitCode: EXIT.ok, text, json: { ok: true, changeId, ...applied } };
 }
 
@@ -179,11 +181,11 @@
   }
 }
 
-const SIGNS = { added: '+', removed: '-', changed: '~' } as const;
+const CHANGE_SIGNS = { added: '+', removed: '-', changed: '~' } as const;
 
-function describeChange(change: ConfigChange): readonly string[] {
+function formatChange(change: ConfigChange): readonly string[] {
   const fields = change.fields.map(
     ({ field, before, after }) => `    ${field}: ${before ?? '(none)'} -> ${after ?? '(none)'}`,
   );
-  return [`  ${SIGNS[change.kind]} ${change.item}`, ...fields];
+  return [`  ${CHANGE_SIGNS[change.kind]} ${change.item}`, ...fields];
 }
--- a/packages/operator/src/commands/hostCommands.ts
+++ b/packages/operator/src/commands/hostCommands.ts
@@ -3,33 +3,34 @@
 import { EXIT, type CommandResult } from './CommandResult.ts';
 import { renderDump } from './renderDump.ts';
 
-/** A host's operators' port, and what opens it. */
+/** The operator port of a host and its credential. */
 export interface HostTarget {
-  /** `ip:port` of the operators' port. */
+  /** `ip:port` of the operator port. */
   readonly address: string;
+  /** The operator credential. */
   readonly credential: string;
   readonly clock: Clock;
 }
 
-/** A host that is busy answers within this time; one that does not is told as not answering. */
+/** Request timeout; a busy host responds within it. */
 const TIMEOUT_MS: Millis = 5000;
 
 /** Gets the state dump of a host. */
 export function dumpCommand(target: HostTarget): Promise<CommandResult> {
-  return ask(target, 'GET', '/v1/dump');
+  return sendRequest(target, 'GET', '/v1/dump');
 }
 
-/** Gets the state of a host in a line. */
+/** Gets the status summary of a host. */
 export function statusCommand(target: HostTarget): Promise<CommandResult> {
-  return ask(target, 'GET', '/v1/status');
+  return sendRequest(target, 'GET', '/v1/status');
 }
 
-/** Tells a host to drain. */
+/** Starts to drain a host. */
 export function drainCommand(target: HostTarget): Promise<CommandResult> {
-  return ask(target, 'POST', '/v1/drain');
+  return sendRequest(target, 'POST', '/v1/drain');
 }
 
-async function ask(
+async function sendRequest(
   target: HostTarget,
   method: 'GET' | 'POST',
   path: string,
@@ -42,17 +43,17 @@
       headers: { authorization: `Bearer ${target.credential}` },
       signal: abort.signal,
     });
-    return answered(res.statusCode, await res.body.json());
+    return toCommandResult(res.statusCode, await res.body.json());
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
-    const text = `${target.address} does not answer: ${reason}`;
+    const text = `${target.address} does not respond: ${reason}`;
     return { exitCode: EXIT.unavailable, text, json: { ok: false, message: text } };
   } finally {
     cancel();
   }
 }
 
-function answered(status: number, body: unknown): CommandResult {
+function toCommandResult(status: number, body: unknown): CommandResult {
   if (status < 300) return { exitCode: EXIT.ok, text: renderDump(body), json: body };
   return { exitCode: EXIT.refused, text: renderDump(body), json: body };
 }
--- a/packages/operator/src/commands/renderDump.ts
+++ b/packages/operator/src/commands/renderDump.ts
@@ -1,27 +1,29 @@
 const INDENT = '  ';
 
-/** Longest list that is printed on one line, in characters. */
-const MAX_LINE = 80;
+/** Longest list printed on one line, in characters. */
+const MAX_INLINE_LIST_LENGTH = 80;
 
 /**
- * Gets a dump as indented text.
+ * Formats a state dump as indented text.
  *
- * @param value - JSON.
+ * @param value - A JSON value.
  * @returns Lines of `name: value`, nested by indentation.
  */
 export function renderDump(value: unknown): string {
-  return lines(value, '').join('\n');
+  return renderLines(value, '').join('\n');
 }
 
-function lines(value: unknown, indent: string): readonly string[] {
-  if (!isNested(value)) return [`${indent}${plain(value)}`];
+function renderLines(value: unknown, indent: string): readonly string[] {
+  if (!isNested(value)) return [`${indent}${formatScalar(value)}`];
   const entries = Object.entries(value as object);
   return entries.flatMap(([name, inner]) => {
     const label = Array.isArray(value) ? '-' : `${name}:`;
-    const short = JSON.stringify(inner) ?? '';
-    const isShort = !isNested(inner) || (Array.isArray(inner) && short.length <= MAX_LINE);
-    if (isShort) return [`${indent}${label} ${isNested(inner) ? short : plain(inner)}`];
-    return [`${indent}${label}`, ...lines(inner, `${indent}${INDENT}`)];
+    const inlineText = JSON.stringify(inner) ?? '';
+    const isInline =
+      !isNested(inner) || (Array.isArray(inner) && inlineText.length <= MAX_INLINE_LIST_LENGTH);
+    if (isInline)
+      return [`${indent}${label} ${isNested(inner) ? inlineText : formatScalar(inner)}`];
+    return [`${indent}${label}`, ...renderLines(inner, `${indent}${INDENT}`)];
   });
 }
 
@@ -29,6 +31,6 @@
   return typeof value === 'object' && value !== null && Object.keys(value).length > 0;
 }
 
-function plain(value: unknown): string {
+function formatScalar(value: unknown): string {
   return typeof value === 'string' ? value : JSON.stringify(value);
 }
--- a/packages/operator/src/commands/zoneCommand.ts
+++ b/packages/operator/src/commands/zoneCommand.ts
@@ -5,32 +5,33 @@
 import { EXIT, type CommandResult } from './CommandResult.ts';
 import { applyResult, readFailure } from './declarationCommands.ts';
 
-/** What is to become of an availability zone. */
+/** Arguments of `drain-zone` and `restore-zone`. */
 export interface ZoneRequest {
   readonly zone: ZoneId;
-  /** `drain` takes its upstreams out of use, `restore` takes them back. */
+  /** `drain` stops dispatches to the zone's upstreams, `restore` resumes them. */
   readonly action: 'drain' | 'restore';
-  /** A text that was never used before. */
+  /** A unique id, used as the change id. */
   readonly freshId: string;
 }
 
 /**
- * Drains an availability zone, or restores it, without a declarations file.
+ * Drains or restores an availability zone without a declarations file.
  *
- * The configuration in force is changed in this one point. What another operator changes meanwhile is
- * kept; the next apply of a file that does not name the zone as drained conflicts with the drain.
+ * Only the drained zones of the configuration in force change. Concurrent changes by other operators are
+ * merged; the next apply of a file that does not list the zone as drained conflicts with the drain.
  *
- * @param context - The platform, the time, and the spread of retries.
- * @param req - The zone, and what is to become of it.
- * @returns Exit codes as of `apply`.
+ * @param context - The object store, the clock and the source of retry jitter.
+ * @param req - The zone and the action.
+ * @returns The output and an exit code as of `apply`.
  */
 export async function zoneCommand(context: ApplyContext, req: ZoneRequest): Promise<CommandResult> {
   const accepted = await readAccepted(context.store);
   if (accepted.isErr()) return readFailure(accepted.error);
-  if (accepted.value === undefined) return notConfigured();
+  if (accepted.value === undefined) return noConfiguration();
   const { version, config } = accepted.value;
-  const others = (config.drainedZones ?? []).filter((zone) => zone !== req.zone);
-  const drainedZones = req.action === 'drain' ? [...others, req.zone] : others;
+  const otherDrainedZones = (config.drainedZones ?? []).filter((zone) => zone !== req.zone);
+  const drainedZones =
+    req.action === 'drain' ? [...otherDrainedZones, req.zone] : otherDrainedZones;
   const outcome = await applyConfig(
     context,
     { ...config, drainedZones },
@@ -39,7 +40,7 @@
   return applyResult(outcome, req.freshId);
 }
 
-function notConfigured(): CommandResult {
+function noConfiguration(): CommandResult {
   const text = 'no configuration is in force yet';
   return { exitCode: EXIT.refused, text, json: { ok: false, error: text } };
 }
--- a/packages/operator/tests/commands/zoneCommand.test.ts
+++ b/packages/operator/tests/commands/zoneCommand.test.ts
@@ -16,47 +16,47 @@
     const req = { declarations: { file: 'fleet.toml', text }, freshId: freshId() };
     return drive(clock, applyCommand(context, req));
   };
-  const change = (action: ZoneRequest['action'], zone: string): Promise<CommandResult> =>
+  const runZoneCommand = (action: ZoneRequest['action'], zone: string): Promise<CommandResult> =>
     drive(clock, zoneCommand(context, { action, zone, freshId: freshId() }));
-  const drained = async (): Promise<readonly string[] | undefined> => {
+  const readDrainedZones = async (): Promise<readonly string[] | undefined> => {
     const accepted = await drive(clock, Promise.resolve(readAccepted(store)));
     return accepted._unsafeUnwrap()?.config.drainedZones;
   };
-  return { apply, change, drained };
+  return { apply, runZoneCommand, readDrainedZones };
 }
 
-test('a zone is drained and restored, and all else stays as it is', async () => {
-  const { apply, change, drained } = setUp();
+test('a zone is drained and restored', async () => {
+  const { apply, runZoneCommand, readDrainedZones } = setUp();
   assert.equal((await apply(TOML)).exitCode, EXIT.ok);
-  const first = await change('drain', 'a');
+  const first = await runZoneCommand('drain', 'a');
   assert.equal(first.exitCode, EXIT.ok);
   assert.match(first.text, /\+ drained zone a/);
-  assert.deepEqual(await drained(), ['a']);
-  assert.match((await change('drain', 'a')).text, /nothing to change/);
-  assert.match((await change('restore', 'a')).text, /- drained zone a/);
-  assert.deepEqual(await drained(), []);
+  assert.deepEqual(await readDrainedZones(), ['a']);
+  assert.match((await runZoneCommand('drain', 'a')).text, /nothing to change/);
+  assert.match((await runZoneCommand('restore', 'a')).text, /- drained zone a/);
+  assert.deepEqual(await readDrainedZones(), []);
 });
 
-// Guards against a drain that has no effect since the zone's name was misspelt.
-test('a zone in which there is no upstream is not drained', async () => {
-  const { apply, change, drained } = setUp();
+// Guards against a drain without effect because the zone's name is misspelt.
+test('a drain of a zone without upstreams is refused', async () => {
+  const { apply, runZoneCommand, readDrainedZones } = setUp();
   await apply(TOML);
-  const refused = await change('drain', 'nowhere');
+  const refused = await runZoneCommand('drain', 'nowhere');
   assert.equal(refused.exitCode, EXIT.invalid);
   assert.match(refused.text, /drained_zones/);
-  assert.deepEqual(await drained(), []);
+  assert.deepEqual(await readDrainedZones(), []);
 });
 
-test('before the first configuration there is nothing to drain', async () => {
-  const { change } = setUp();
-  assert.equal((await change('drain', 'a')).exitCode, EXIT.refused);
+test('a drain before the first configuration is refused', async () => {
+  const { runZoneCommand } = setUp();
+  assert.equal((await runZoneCommand('drain', 'a')).exitCode, EXIT.refused);
 });
 
-test('a drained zone can be declared, and unknown ones are faults', async () => {
-  const { apply, drained } = setUp();
+test('drained zones can be declared, and unknown ones are errors', async () => {
+  const { apply, readDrainedZones } = setUp();
   const bad = await apply(`drained_zones = ["x"]\n${TOML}`);
   assert.equal(bad.exitCode, EXIT.invalid);
   assert.match(bad.text, /drained_zones\[0\]: found "x"/);
   assert.equal((await apply(`drained_zones = ["a"]\n${TOML}`)).exitCode, EXIT.ok);
-  assert.deepEqual(await drained(), ['a']);
+  assert.deepEqual(await readDrainedZones(), ['a']);
 });
