--- a/packages/operator/src/port/OperatorBackend.ts
+++ b/packages/operator/src/port/OperatorBackend.ts
@@ -1,30 +1,30 @@
 import type { HostId, ZoneId } from '@camphorvane/core';
 
-/** What a host tells operators about itself in a line. */
+/** Status summary of a host. */
 export interface HostStatus {
   readonly host: HostId;
   readonly zone: ZoneId;
   /** Version of the program. */
   readonly program: string;
   readonly state: 'starting' | 'serving' | 'draining' | 'stopped';
-  /** Version of the configuration in force, 0 before the first. */
+  /** Version of the configuration in force, or 0 before the first. */
   readonly configVersion: number;
-  /** False while keys are refused because the version is unconfirmed. */
+  /** False while the configuration version is unconfirmed and callers' keys are refused. */
   readonly configConfirmed: boolean;
-  /** Epoch of the host's group, 0 where it is in none. */
+  /** Epoch of the host's group, or 0 if it is in none. */
   readonly epoch: number;
-  /** Requests that callers wait for. */
+  /** Number of requests in flight. */
   readonly inFlight: number;
 }
 
-/** What a host offers on its operators' port. */
+/** Operations that a host provides on its operator port. */
 export interface OperatorBackend {
-  /** Gets the state of all parts of the process, as JSON. */
+  /** Gets the state of all components of the process, as JSON. */
   dump(): Promise<unknown>;
 
-  /** Gets the state in a line. */
+  /** Gets the status summary. */
   status(): HostStatus;
 
-  /** Starts to drain; asking again changes nothing. */
+  /** Starts to drain; further calls have no effect. */
   drain(): void;
 }
--- a/packages/operator/src/port/OperatorServer.ts
+++ b/packages/operator/src/port/OperatorServer.ts
@@ -2,20 +2,20 @@
 import { serve, type ServerType } from '@hono/node-server';
 import { operatorApp, type OperatorAppOptions } from './operatorApp.ts';
 
-/** Where the operators' port listens. */
+/** Listen address of the operator port. */
 export interface OperatorAddress {
   readonly hostname: string;
-  /** 0 takes any free port. */
+  /** Port number; 0 selects a free port. */
   readonly port: number;
 }
 
-/** The operators' port of a host. */
+/** HTTP server of the operator port of a host. */
 export class OperatorServer {
   private readonly options: OperatorAppOptions;
 
   private server: ServerType | undefined;
 
-  /** @param options - The credential and what the host offers. */
+  /** @param options - The credential and the backend. */
   constructor(options: OperatorAppOptions) {
     this.options = options;
   }
@@ -23,8 +23,8 @@
   /**
    * Starts to listen.
    *
-   * @param address - Where.
-   * @returns The port in use; rejects where the address can't be taken.
+   * @param address - The listen address.
+   * @returns The port in use; rejects if the address cannot be bound.
    */
   listen(address: OperatorAddress): Promise<number> {
     const { fetch } = operatorApp(this.options);
--- a/packages/operator/src/port/operatorApp.ts
+++ b/packages/operator/src/port/operatorApp.ts
@@ -5,18 +5,19 @@
 
 /** Settings of {@link operatorApp}. */
 export interface OperatorAppOptions {
-  /** What operators show; it is none of the callers' keys. */
+  /** The operators' bearer token, distinct from callers' keys. */
   readonly credential: string;
+  /** The operations of the host. */
   readonly backend: OperatorBackend;
-  /** Further texts that no dump may hold, such as the fleet's credential. */
+  /** Further texts to redact from dumps, such as the fleet's credential. */
   readonly secrets?: readonly string[];
 }
 
 /**
- * Makes the routes of the operators' port.
+ * Creates the HTTP application of the operator port.
  *
- * @param options - The credential and what the host offers.
- * @returns The application; every route asks for the credential.
+ * @param options - The credential and the backend.
+ * @returns The application; every route requires the credential.
  */
 export function operatorApp(options: OperatorAppOptions): Hono {
   const { backend, credential } = options;
@@ -24,10 +25,7 @@
   const app = new Hono();
   app.use('*', async (c, next) => {
     if (isCredential(c.req.header('authorization'), credential)) return next();
-    return c.json(
-      { code: 'unauthorized', message: 'This port needs the operators’ credential.' },
-      401,
-    );
+    return c.json({ code: 'unauthorized', message: 'The operator credential is required.' }, 401);
   });
   app.get('/v1/dump', async (c) => c.json(redact(await backend.dump(), secrets) as object));
   app.get('/v1/status', (c) => c.json(backend.status()));
@@ -35,17 +33,17 @@
     backend.drain();
     return c.json(backend.status(), 202);
   });
-  app.notFound((c) => c.json({ code: 'not_found', message: 'There is no such route.' }, 404));
+  app.notFound((c) => c.json({ code: 'not_found', message: 'No such route.' }, 404));
   return app;
 }
 
 /**
- * Compares digests in constant time: comparing the texts would tell, by how long it takes, how much
- * of a guess is right.
+ * Compares digests in constant time; comparing the texts would reveal through timing how much of a
+ * guess is right.
  */
 function isCredential(header: string | undefined, credential: string): boolean {
-  const shown = /^Bearer (.+)$/.exec(header ?? '')?.[1] ?? '';
-  return credential !== '' && timingSafeEqual(digest(shown), digest(credential));
+  const token = /^Bearer (.+)$/.exec(header ?? '')?.[1] ?? '';
+  return credential !== '' && timingSafeEqual(digest(token), digest(credential));
 }
 
 function digest(text: string): Buffer {
--- a/packages/operator/src/port/redact.ts
+++ b/packages/operator/src/port/redact.ts
@@ -1,37 +1,37 @@
 import { KEY_PREFIX } from '../builder/newKey.ts';
 
-const HIDDEN = '(not shown)';
+const REDACTED = '(not shown)';
 
-/** Names under which a part of the process might keep a credential. */
+/** Field names that may hold a credential. */
 const SECRET_NAME = /credential|secret|password|authorization|private/i;
 
-/** Deepest nesting that is shown; a dump is a report, and must end whatever it was given. */
+/** Deepest nesting in a dump; bounds its output for any input. */
 const MAX_DEPTH = 20;
 
 /**
- * Takes secrets out of a dump.
+ * Redacts secrets in a dump.
  *
- * The parts of a process are not supposed to hand any out. This is the last line before the wire: it
- * hides what is called a credential, and every text that holds a key or one of the known secrets.
+ * Components must not put secrets into a dump; this is a last safeguard before it is sent. It redacts
+ * fields named like a credential, and every text that contains a caller's key or a known secret.
  *
- * @param value - Anything that can become JSON.
- * @param secrets - Texts that must not be shown, wherever they stand.
- * @returns A copy without them.
+ * @param value - A value that can be serialized as JSON.
+ * @param secrets - Texts to redact wherever they occur.
+ * @returns A redacted copy.
  */
 export function redact(value: unknown, secrets: readonly string[]): unknown {
-  const known = secrets.filter((secret) => secret !== '');
-  return hide(JSON.parse(JSON.stringify(value ?? null)) as unknown, known, 0);
+  const nonEmptySecrets = secrets.filter((secret) => secret !== '');
+  return redactValue(JSON.parse(JSON.stringify(value ?? null)) as unknown, nonEmptySecrets, 0);
 }
 
-function hide(value: unknown, secrets: readonly string[], depth: number): unknown {
-  if (typeof value === 'string') return isSecret(value, secrets) ? HIDDEN : value;
+function redactValue(value: unknown, secrets: readonly string[], depth: number): unknown {
+  if (typeof value === 'string') return isSecret(value, secrets) ? REDACTED : value;
   if (typeof value !== 'object' || value === null) return value;
   if (depth >= MAX_DEPTH) return '(too deep)';
-  if (Array.isArray(value)) return value.map((item) => hide(item, secrets, depth + 1));
+  if (Array.isArray(value)) return value.map((item) => redactValue(item, secrets, depth + 1));
   return Object.fromEntries(
     Object.entries(value).map(([name, inner]) => {
-      const shown = SECRET_NAME.test(name) ? HIDDEN : hide(inner, secrets, depth + 1);
-      return [isSecret(name, secrets) ? HIDDEN : name, shown];
+      const redacted = SECRET_NAME.test(name) ? REDACTED : redactValue(inner, secrets, depth + 1);
+      return [isSecret(name, secrets) ? REDACTED : name, redacted];
     }),
   );
 }
--- a/packages/operator/tests/port/operatorApp.test.ts
+++ b/packages/operator/tests/port/operatorApp.test.ts
@@ -15,7 +15,7 @@
 
 const CREDENTIAL = 'operators-only';
 
-class Backend implements OperatorBackend {
+class FakeBackend implements OperatorBackend {
   state: HostStatus['state'] = 'serving';
 
   dump(): Promise<unknown> {
@@ -43,17 +43,23 @@
 
 const options = () => ({
   credential: CREDENTIAL,
-  backend: new Backend(),
+  backend: new FakeBackend(),
   secrets: ['fleet-secret'],
 });
 
-test('without the operators’ credential the port gives nothing and drains nothing', async () => {
-  // A caller finds the operators' port and tries the key that works for its requests. It must learn
-  // nothing about other teams, and must not be able to take a host out of service.
+test('requests without the operator credential are rejected and do not drain the host', async () => {
+  // A caller who reaches the operator port with its own key must not learn anything about other teams or
+  // be able to drain a host.
   const { backend, ...rest } = options();
   const app = operatorApp({ ...rest, backend });
-  const wrong = [undefined, 'Bearer', 'Bearer ', 'Bearer cvk_caller', `Basic ${CREDENTIAL}`];
-  const answers = wrong.flatMap((authorization) =>
+  const rejectedHeaders = [
+    undefined,
+    'Bearer',
+    'Bearer ',
+    'Bearer cvk_caller',
+    `Basic ${CREDENTIAL}`,
+  ];
+  const responses = rejectedHeaders.flatMap((authorization) =>
     (['/v1/dump', '/v1/status', '/v1/drain', '/x'] as const).map((path) =>
       app.request(path, {
         method: path === '/v1/drain' ? 'POST' : 'GET',
@@ -61,23 +67,23 @@
       }),
     ),
   );
-  const statuses = (await Promise.all(answers)).map((res) => res.status);
+  const statuses = (await Promise.all(responses)).map((res) => res.status);
   assert.deepEqual([...new Set(statuses)], [401]);
   assert.equal(backend.state, 'serving');
 });
 
-test('an empty credential in the settings opens the port to nobody', async () => {
+test('an empty credential in the settings rejects every request', async () => {
   const app = operatorApp({ ...options(), credential: '' });
   const res = await app.request('/v1/status', { headers: { authorization: 'Bearer ' } });
   assert.equal(res.status, 401);
 });
 
-test('a dump shows no key and no credential, wherever a part of the process has put it', () => {
-  const shown = redact(
+test('keys and credentials are redacted anywhere in a dump', () => {
+  const redacted = redact(
     { a: [{ authorization: 'x' }], 'k cvk_1': 1, b: 'has fleet-secret inside', c: true },
     ['fleet-secret', ''],
   );
-  assert.deepEqual(shown, {
+  assert.deepEqual(redacted, {
     a: [{ authorization: '(not shown)' }],
     '(not shown)': 1,
     b: '(not shown)',
@@ -85,7 +91,7 @@
   });
 });
 
-test('the commands read a running host, drain it, and tell a refusal from silence', async (t) => {
+test('the host commands read and drain a host, and distinguish a refusal from an unreachable host', async (t) => {
   const { backend, ...rest } = options();
   const server = new OperatorServer({ ...rest, backend });
   const port = await server.listen({ hostname: '127.0.0.1', port: 0 });
