--- a/packages/operator/src/builder/PoolBuilder.ts
+++ b/packages/operator/src/builder/PoolBuilder.ts
@@ -3,7 +3,7 @@
 /** Settings of a new pool; engines are added one by one. */
 export type PoolStructure = Omit<PoolConfig, 'engines'>;
 
-/** Settings of a new engine; `checksFencing` defaults to true. */
+/** Settings of a new engine; by default it rejects orders with an outdated fencing token. */
 export type EngineStructure = Omit<EngineConfig, 'role' | 'checksFencing'> &
   Partial<Pick<EngineConfig, 'checksFencing'>>;
 
