--- a/packages/stand-ins/src/engine/DecodeBatch.ts
+++ b/packages/stand-ins/src/engine/DecodeBatch.ts
@@ -6,20 +6,20 @@
 import type { EventQueue } from './EventQueue.ts';
 import type { KvEntry } from './KvStore.ts';
 
-/** Events of one decode stream. */
+/** Event queue of one decode stream. */
 export type DecodeQueue = EventQueue<Result<DecodeEvent, UpstreamError>>;
 
-/** What a batch asks of its engine. */
+/** Callbacks of a batch to its engine. */
 export interface DecodeBatchOwner {
-  /** Gets the time that one step with so many streams takes. */
+  /** Gets the duration of a step with the given number of streams. */
   stepMs(streams: number): Millis;
-  /** Tells whether the engine produces nothing for now. */
+  /** Tells whether the engine is stalled: steps pass but produce no tokens. */
   isStopped(): boolean;
-  /** Takes note that a stream has given its whole answer. */
+  /** Called after a stream has emitted its complete answer. */
   finished(stream: DecodeStream): void;
 }
 
-/** One running stream. */
+/** A decode stream in the batch. */
 export interface DecodeStream {
   readonly cmd: DecodeCommand;
   readonly entry: KvEntry;
@@ -27,13 +27,13 @@
 }
 
 interface Progress {
-  /** Position that the caller is told. */
-  readonly label: number;
-  /** Position that the engine's state is at; differs after a wrong resume, and the text shows it. */
-  readonly position: number;
+  /** Token position in the emitted events. */
+  readonly reportedPosition: number;
+  /** Token position of the KV cache, which decides the text; differs after a wrong resume. */
+  readonly statePosition: number;
 }
 
-/** Decodes all running streams together, one token each a step. */
+/** Decodes all streams in steps; each step emits one token for each stream. */
 export class DecodeBatch {
   private readonly streams = new Map<DecodeStream, Progress>();
 
@@ -44,22 +44,22 @@
     private readonly owner: DecodeBatchOwner,
   ) {}
 
-  /** Gets how many streams run. */
+  /** Gets the number of streams. */
   size(): number {
     return this.streams.size;
   }
 
-  /** Starts a stream; its first token comes with the next step. */
+  /** Adds a stream; its first token is emitted by the next step. */
   add(stream: DecodeStream): void {
     const resumed = stream.entry.cache.continuation.length / CHARS_PER_TOKEN;
     this.streams.set(stream, {
-      label: stream.cmd.fromPosition,
-      position: resumed > 0 ? resumed : stream.cmd.fromPosition,
+      reportedPosition: stream.cmd.fromPosition,
+      statePosition: resumed > 0 ? resumed : stream.cmd.fromPosition,
     });
     this.schedule();
   }
 
-  /** Stops a stream without a word to its consumer. */
+  /** Removes a stream and ends its queue without an error event. */
   remove(stream: DecodeStream): void {
     this.streams.delete(stream);
     stream.queue.end();
@@ -70,7 +70,7 @@
     return [...this.streams.keys()].filter((stream) => stream.cmd.attempt === attempt);
   }
 
-  /** Breaks all streams, as a crash does. */
+  /** Ends all streams with an error, as a crash does. */
   breakAll(message: string): void {
     [...this.streams.keys()].forEach((stream) => {
       stream.queue.push(err({ type: 'broken', dispatched: true, message }));
@@ -84,23 +84,26 @@
     this.clock.after(this.owner.stepMs(this.streams.size), () => {
       this.stepping = false;
       if (!this.owner.isStopped()) {
-        [...this.streams.entries()].forEach(([stream, at]) => this.advance(stream, at));
+        [...this.streams.entries()].forEach(([stream, progress]) => this.advance(stream, progress));
       }
       this.schedule();
     });
   }
 
-  private advance(stream: DecodeStream, at: Progress): void {
+  private advance(stream: DecodeStream, progress: Progress): void {
     const { attempt, maxTokens } = stream.cmd;
     const { prompt } = stream.entry.cache;
     const length = answerLength(prompt, maxTokens);
-    if (at.position < length) {
-      const text = answerToken(prompt, at.position);
-      stream.queue.push(ok({ type: 'token', attempt, position: at.label, text }));
+    if (progress.statePosition < length) {
+      const text = answerToken(prompt, progress.statePosition);
+      stream.queue.push(ok({ type: 'token', attempt, position: progress.reportedPosition, text }));
     }
-    const next = { label: at.label + 1, position: at.position + 1 };
+    const next = {
+      reportedPosition: progress.reportedPosition + 1,
+      statePosition: progress.statePosition + 1,
+    };
     this.streams.set(stream, next);
-    if (next.position < length) return;
+    if (next.statePosition < length) return;
     const reason = length === maxTokens ? 'length' : 'stop';
     stream.queue.push(ok({ type: 'done', attempt, reason, outputTokens: length }));
     this.remove(stream);
--- a/packages/stand-ins/src/engine/EngineCore.ts
+++ b/packages/stand-ins/src/engine/EngineCore.ts
@@ -36,17 +36,17 @@
 import { interruptible, manyListeners } from './interruptible.ts';
 import type { Waited } from './interruptible.ts';
 
-/** Reads the KV cache of another engine; undefined where it is gone or the engine is away. */
+/** Fetches a KV cache from another engine; undefined if evicted or the engine is unreachable. */
 export type KvSource = (sourceUrl: string, handle: string) => Promise<KvCache | undefined>;
 
 type Outcome<T> = Result<T, UpstreamError>;
 
 /**
- * A stand-in engine without sockets: it keeps the promises and has the faults of the engines that
- * the system meets, and records all that it ran.
+ * An in-memory model engine for tests: follows the engine protocol, injects the faults of real
+ * engines, and records everything it started.
  */
 export class EngineCore implements ModelEngine {
-  /** Everything that this engine started to run. */
+  /** Commands that this engine started, oldest first. */
   readonly records: ExecutionRecord[] = [];
 
   private faultState: EngineFaults = NO_ENGINE_FAULTS;
@@ -57,26 +57,26 @@
 
   private readonly ordersTaken: EngineOrder[] = [];
 
-  private life = manyListeners();
+  private crashController = manyListeners();
 
   private readonly kv: KvStore;
 
   private readonly batch: DecodeBatch;
 
-  private readonly cache: PrefixCache;
+  private readonly prefixCache: PrefixCache;
 
-  private readonly prefills = new SerialLane();
+  private readonly prefillQueue = new SerialLane();
 
-  private readonly link = new SerialLane();
+  private readonly linkQueue = new SerialLane();
 
   private readonly inflight = new Map<AttemptId, AbortController>();
 
-  private reports: readonly { readonly at: Millis; readonly load: LoadSnapshot }[] = [];
+  private loadReports: readonly { readonly at: Millis; readonly load: LoadSnapshot }[] = [];
 
   /**
-   * @param settings - How the engine behaves while healthy.
-   * @param clock - The time it lives in.
-   * @param source - Where it fetches KV caches from.
+   * @param settings - Behavior of the engine without faults.
+   * @param clock - Clock for all delays and timestamps.
+   * @param source - Fetches KV caches from other engines.
    */
   constructor(
     private readonly settings: EngineSettings,
@@ -85,7 +85,7 @@
   ) {
     this.role = settings.role;
     this.kv = new KvStore(clock);
-    this.cache = new PrefixCache(settings, clock);
+    this.prefixCache = new PrefixCache(settings, clock);
     this.batch = new DecodeBatch(clock, {
       stepMs: (streams) => this.stepMs(streams),
       isStopped: () => this.faultState.silent,
@@ -93,69 +93,69 @@
     });
   }
 
-  /** Gets the engine's name. */
+  /** Gets the ID of the engine. */
   get id(): UpstreamId {
     return this.settings.id;
   }
 
-  /** Gets the orders that the engine took, oldest first. */
+  /** Gets the orders that the engine accepted, oldest first. */
   get orders(): readonly EngineOrder[] {
     return this.ordersTaken;
   }
 
-  /** Gets what is wrong with the engine. */
+  /** Gets the injected faults. */
   get faults(): EngineFaults {
     return this.faultState;
   }
 
-  /** Changes what is wrong with the engine; what is not named stays as it is. */
+  /** Changes the given faults and leaves the others unchanged. */
   setFaults(change: Partial<EngineFaults>): void {
     this.faultState = { ...this.faultState, ...change };
   }
 
-  /** Breaks all that runs and forgets all memory; the engine comes back after its restart time. */
+  /** Fails all running commands and clears all memory; restarts after `restartMs`, if set. */
   crash(): void {
-    this.life.abort();
-    this.life = manyListeners();
+    this.crashController.abort();
+    this.crashController = manyListeners();
     this.batch.breakAll('engine crashed');
     this.kv.clear();
-    this.cache.clear();
+    this.prefixCache.clear();
     this.setFaults({ down: true, silent: false });
     const { restartMs } = this.settings;
     if (restartMs !== undefined) this.clock.after(restartMs, () => this.setFaults({ down: false }));
   }
 
-  /** Gets the true load, without the lag of {@link load}. */
+  /** Gets the current load, without the reporting lag of {@link load}. */
   currentLoad(): LoadSnapshot {
     return {
       role: this.role,
       usedPieces: this.kv.usedPieces(),
       memoryPieces: this.settings.memoryPieces,
       running: this.batch.size(),
-      waiting: this.prefills.waiting() + this.link.waiting(),
+      waiting: this.prefillQueue.waiting() + this.linkQueue.waiting(),
       attempts: this.kv.attempts(),
     };
   }
 
-  /** Runs a prompt. */
+  /** Runs the prefill of a prompt. */
   prefill(cmd: PrefillCommand, signal: AbortSignal): ResultAsync<PrefillResult, UpstreamError> {
-    return this.tracked(cmd.attempt, signal, (both) =>
-      this.prefills.run(cmd.priority, () => this.runPrefill(cmd, both)),
+    return this.runCancellable(cmd.attempt, signal, (combined) =>
+      this.prefillQueue.run(cmd.priority, () => this.runPrefill(cmd, combined)),
     );
   }
 
   /** Fetches a KV cache into this engine. */
   transfer(cmd: TransferCommand, signal: AbortSignal): ResultAsync<void, UpstreamError> {
-    return this.tracked(cmd.attempt, signal, (both) => this.runTransfer(cmd, both));
+    return this.runCancellable(cmd.attempt, signal, (combined) => this.runTransfer(cmd, combined));
   }
 
   /** Streams output from an imported KV cache. */
   decode(cmd: DecodeCommand, signal: AbortSignal): AsyncIterable<Outcome<DecodeEvent>> {
-    const cell: { stream?: DecodeStream } = {};
+    const streamRef: { stream?: DecodeStream } = {};
     const stop = (): void => {
-      if (cell.stream === undefined) return;
-      this.batch.remove(cell.stream);
-      this.kv.drop(cell.stream.entry.handle);
+      if (streamRef.stream === undefined) return;
+      this.batch.remove(streamRef.stream);
+      this.kv.drop(streamRef.stream.entry.handle);
     };
     const queue = new EventQueue<Outcome<DecodeEvent>>(stop);
     const fail = (error: UpstreamError): AsyncIterable<Outcome<DecodeEvent>> => {
@@ -167,15 +167,15 @@
     const entry = cmd.kvHandle === undefined ? undefined : this.kv.get(cmd.kvHandle);
     if (entry === undefined) return fail(rejected(`no KV cache ${cmd.kvHandle}`));
     this.record('decode', cmd.attempt, entry.cache.prompt, 0);
-    cell.stream = { cmd, entry, queue };
+    streamRef.stream = { cmd, entry, queue };
     signal.addEventListener('abort', stop, { once: true });
-    this.cross(cmd, queue);
-    this.batch.add(cell.stream);
-    this.crashOnPoison(entry.cache.prompt);
+    this.injectForeignToken(cmd, queue);
+    this.batch.add(streamRef.stream);
+    this.crashIfPoisoned(entry.cache.prompt);
     return queue;
   }
 
-  /** Frees whatever an attempt holds on this engine. */
+  /** Aborts the commands of an attempt and frees its memory on this engine. */
   cancel(attempt: AttemptId): ResultAsync<void, UpstreamError> {
     if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
     this.inflight.get(attempt)?.abort();
@@ -187,13 +187,13 @@
     return new ResultAsync(Promise.resolve(ok(undefined)));
   }
 
-  /** Reads the load as it was about `reportLagMs` ago. */
+  /** Reads the load of about `reportLagMs` ago, or one without work if there is none that old. */
   load(): ResultAsync<LoadSnapshot, UpstreamError> {
     if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
     const now = this.clock.now();
-    this.reports = [...this.reports, { at: now, load: this.currentLoad() }];
-    const due = this.reports.filter((report) => report.at <= now - this.settings.reportLagMs);
-    this.reports = this.reports.slice(Math.max(0, due.length - 1));
+    this.loadReports = [...this.loadReports, { at: now, load: this.currentLoad() }];
+    const due = this.loadReports.filter((report) => report.at <= now - this.settings.reportLagMs);
+    this.loadReports = this.loadReports.slice(Math.max(0, due.length - 1));
     const shown = due.at(-1)?.load ?? {
       ...this.currentLoad(),
       usedPieces: 0,
@@ -204,11 +204,11 @@
     return new ResultAsync(Promise.resolve(ok(shown)));
   }
 
-  /** Takes an order, unless its fencing number is old and this engine checks that. */
+  /** Applies an order; rejects a stale fencing token if this engine checks fencing. */
   order(order: EngineOrder): ResultAsync<void, UpstreamError> {
     if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
     if (this.settings.checksFencing && order.fence < this.fence) {
-      return new ResultAsync(Promise.resolve(err(rejected(`fence ${order.fence} is old`))));
+      return new ResultAsync(Promise.resolve(err(rejected(`fence ${order.fence} is stale`))));
     }
     this.fence = Math.max(this.fence, order.fence);
     this.ordersTaken.push(order);
@@ -216,12 +216,12 @@
     return new ResultAsync(Promise.resolve(ok(undefined)));
   }
 
-  /** Reads cache events, which come late and with gaps. */
+  /** Reads prefix cache events, which are delayed and have gaps. */
   cacheEvents(after: number): CacheEventBatch {
-    return this.cache.read(after);
+    return this.prefixCache.read(after);
   }
 
-  /** Gets a KV cache for another engine. */
+  /** Gets a KV cache for transfer to another engine; undefined if it is not stored here. */
   exportKv(handle: string): KvCache | undefined {
     return this.faultState.down ? undefined : this.kv.get(handle)?.cache;
   }
@@ -230,17 +230,17 @@
     cmd: PrefillCommand,
     signal: AbortSignal,
   ): Promise<Outcome<PrefillResult>> {
-    if (signal.aborted) return this.interrupted(signal, false);
+    if (signal.aborted) return this.interruptionError(signal, false);
     const prompt = textOf(cmd.prompt);
-    if (prompt === undefined) return err(rejected('this engine takes text'));
+    if (prompt === undefined) return err(rejected('this engine accepts text prompts only'));
     const promptTokens = estimateTokens(prompt + cmd.continuation);
-    const cachedTokens = this.cache.use(prompt);
+    const cachedTokens = this.prefixCache.use(prompt);
     const computed = Math.max(1, promptTokens - cachedTokens);
     this.record('prefill', cmd.attempt, prompt, computed);
-    if (this.crashOnPoison(prompt)) return err(this.broken());
-    const work = this.settings.prefillOverheadMs + computed * this.settings.prefillMsPerToken;
-    const took = await this.pause(this.heated(work), signal);
-    if (took !== 'elapsed') return this.interrupted(signal, true);
+    if (this.crashIfPoisoned(prompt)) return err(this.crashError());
+    const computeMs = this.settings.prefillOverheadMs + computed * this.settings.prefillMsPerToken;
+    const waitResult = await this.waitWithFaults(this.scaleDuration(computeMs), signal);
+    if (waitResult !== 'elapsed') return this.interruptionError(signal, true);
     const kvHandle = `${this.id}/${cmd.attempt}`;
     const pieces = piecesFor(promptTokens);
     const cache = { prompt, continuation: cmd.continuation, pieces };
@@ -250,17 +250,17 @@
 
   private async runTransfer(cmd: TransferCommand, signal: AbortSignal): Promise<Outcome<void>> {
     if (this.kv.usedPieces() + cmd.pieces > this.settings.memoryPieces) {
-      return err(rejected('no memory for the KV cache'));
+      return err(rejected('not enough memory for the KV cache'));
     }
     const cache = await this.source(cmd.sourceUrl, cmd.kvHandle);
-    if (cache === undefined) return err(rejected(`KV cache ${cmd.kvHandle} is gone`));
+    if (cache === undefined) return err(rejected(`KV cache ${cmd.kvHandle} is unavailable`));
     const { attempt, pieces, kvHandle } = cmd;
     this.kv.put({ handle: kvHandle, attempt, cache, pieces });
     this.record('transfer', attempt, cache.prompt, 0);
-    const took = await this.link.run(0, () => this.fetchOverLink(cache, signal));
-    if (took === 'elapsed') return ok(undefined);
+    const waitResult = await this.linkQueue.run(0, () => this.fetchOverLink(cache, signal));
+    if (waitResult === 'elapsed') return ok(undefined);
     this.kv.drop(kvHandle);
-    return this.interrupted(signal, true);
+    return this.interruptionError(signal, true);
   }
 
   private fetchOverLink(cache: KvCache, signal: AbortSignal): Promise<Waited> {
@@ -270,43 +270,43 @@
       return interruptible(this.clock, undefined, signal);
     }
     const millis = (cache.pieces / this.settings.linkPiecesPerSecond) * 1000;
-    return this.pause(millis * this.faultState.slowFactor, signal);
+    return this.waitWithFaults(millis * this.faultState.slowFactor, signal);
   }
 
-  /** Starts the stream with a token of an earlier attempt, as an answer that comes late does. */
-  private cross(cmd: DecodeCommand, queue: EventQueue<Outcome<DecodeEvent>>): void {
+  /** Injects a token of another attempt at the start of a stream, as a late answer would. */
+  private injectForeignToken(cmd: DecodeCommand, queue: EventQueue<Outcome<DecodeEvent>>): void {
     const { crossedStreams } = this.faultState;
     if (crossedStreams === 0) return;
     this.setFaults({ crossedStreams: crossedStreams - 1 });
-    const stranger = this.records.find((record) => record.attempt !== cmd.attempt);
-    const attempt = stranger?.attempt ?? 'attempt-of-a-stranger';
-    const text = answerToken(stranger?.text ?? 'prompt of a stranger', cmd.fromPosition);
+    const foreignRecord = this.records.find((record) => record.attempt !== cmd.attempt);
+    const attempt = foreignRecord?.attempt ?? 'attempt-of-a-stranger';
+    const text = answerToken(foreignRecord?.text ?? 'prompt of a stranger', cmd.fromPosition);
     queue.push(ok({ type: 'token', attempt, position: cmd.fromPosition, text }));
   }
 
-  private crashOnPoison(prompt: string): boolean {
+  private crashIfPoisoned(prompt: string): boolean {
     const { poison } = this.faultState;
     if (poison === undefined || !prompt.includes(poison)) return false;
     this.crash();
     return true;
   }
 
-  private tracked<T>(
+  private runCancellable<T>(
     attempt: AttemptId,
     signal: AbortSignal,
-    run: (both: AbortSignal) => Promise<Outcome<T>>,
+    run: (combined: AbortSignal) => Promise<Outcome<T>>,
   ): ResultAsync<T, UpstreamError> {
     if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
-    const own = new AbortController();
-    this.inflight.set(attempt, own);
-    const both = AbortSignal.any([signal, own.signal, this.life.signal]);
-    const done = run(both).finally(() => {
-      if (this.inflight.get(attempt) === own) this.inflight.delete(attempt);
+    const controller = new AbortController();
+    this.inflight.set(attempt, controller);
+    const combined = AbortSignal.any([signal, controller.signal, this.crashController.signal]);
+    const done = run(combined).finally(() => {
+      if (this.inflight.get(attempt) === controller) this.inflight.delete(attempt);
     });
     return new ResultAsync(done);
   }
 
-  private async pause(millis: Millis, signal: AbortSignal): Promise<Waited> {
+  private async waitWithFaults(millis: Millis, signal: AbortSignal): Promise<Waited> {
     const waited = await interruptible(this.clock, millis + this.faultState.delayMs, signal);
     if (waited === 'elapsed' && this.faultState.silent) {
       return interruptible(this.clock, undefined, signal);
@@ -314,21 +314,21 @@
     return waited;
   }
 
-  private interrupted(signal: AbortSignal, dispatched: boolean): Outcome<never> {
-    if (this.faultState.down) return err(this.broken());
+  private interruptionError(signal: AbortSignal, dispatched: boolean): Outcome<never> {
+    if (this.faultState.down) return err(this.crashError());
     return err({ type: 'cancelled', dispatched, message: String(signal.reason ?? 'cancelled') });
   }
 
-  private broken(): UpstreamError {
+  private crashError(): UpstreamError {
     return { type: 'broken', dispatched: true, message: `${this.id} crashed` };
   }
 
   private stepMs(streams: number): Millis {
     const { decodeBaseMs, decodePerStreamMs } = this.settings;
-    return this.heated(decodeBaseMs + decodePerStreamMs * streams);
+    return this.scaleDuration(decodeBaseMs + decodePerStreamMs * streams);
   }
 
-  private heated(millis: Millis): Millis {
+  private scaleDuration(millis: Millis): Millis {
     return (millis * this.faultState.slowFactor) / this.faultState.capacity;
   }
 
--- a/packages/stand-ins/src/engine/EngineFaults.ts
+++ b/packages/stand-ins/src/engine/EngineFaults.ts
@@ -1,26 +1,26 @@
 import type { Millis } from '@camphorvane/core';
 
-/** What is wrong with a stand-in engine at the moment. */
+/** Faults that are injected into a stand-in engine. */
 export interface EngineFaults {
-  /** True where connections are refused. */
+  /** True if connections are refused. */
   readonly down: boolean;
   /** Multiplies every duration; 1 is healthy. */
   readonly slowFactor: number;
-  /** Share of the capacity that heat has left, from just above 0 to 1. */
+  /** Share of the compute capacity left under thermal throttling, above 0 and up to 1. */
   readonly capacity: number;
-  /** True where the engine keeps connections open and sends nothing. */
+  /** True if the engine keeps connections open but sends nothing. */
   readonly silent: boolean;
-  /** How many of the next decode streams begin with a token of another attempt. */
+  /** Number of upcoming decode streams that start with a token of another attempt. */
   readonly crossedStreams: number;
-  /** How many of the next transfers never end. */
+  /** Number of upcoming transfers that never complete. */
   readonly stalledTransfers: number;
   /** A prompt that contains this text crashes the engine. */
   readonly poison: string | undefined;
-  /** Time that is added before each answer to a command. */
+  /** Delay added to each answer to a command. */
   readonly delayMs: Millis;
 }
 
-/** A healthy engine. */
+/** No faults. */
 export const NO_ENGINE_FAULTS: EngineFaults = {
   down: false,
   slowFactor: 1,
--- a/packages/stand-ins/src/engine/EngineSettings.ts
+++ b/packages/stand-ins/src/engine/EngineSettings.ts
@@ -1,28 +1,28 @@
 import type { EngineRole, Millis, Pieces, UpstreamId } from '@camphorvane/core';
 
-/** How a stand-in engine behaves while nothing is wrong with it. */
+/** Behavior of a stand-in engine without faults. */
 export interface EngineSettings {
   readonly id: UpstreamId;
   readonly role: EngineRole;
   readonly memoryPieces: Pieces;
-  /** True where orders with an old fencing number are refused. */
+  /** True if orders with a stale fencing token are rejected. */
   readonly checksFencing: boolean;
   readonly prefillOverheadMs: Millis;
   readonly prefillMsPerToken: Millis;
-  /** Time of a decode step without any stream. */
+  /** Duration of a decode step with an empty batch. */
   readonly decodeBaseMs: Millis;
-  /** What each running stream adds to a decode step. */
+  /** Added to the duration of a decode step for each stream in the batch. */
   readonly decodePerStreamMs: Millis;
-  /** How long the KV cache of a prefill is kept. */
+  /** TTL of the KV cache that a prefill leaves. */
   readonly kvLifeMs: Millis;
   readonly linkPiecesPerSecond: number;
   readonly reportLagMs: Millis;
-  /** Blocks of {@link BLOCK_CHARS} characters that the prefix cache holds. */
+  /** Capacity of the prefix cache, in blocks of {@link BLOCK_CHARS} characters. */
   readonly cacheBlocks: number;
   readonly cacheEventDelayMs: Millis;
-  /** Each so many cache events one is lost; 0 loses none. */
+  /** Every n-th cache event is lost; 0 loses none. */
   readonly cacheEventGap: number;
-  /** How long the engine is away after a crash; undefined keeps it down. */
+  /** Time from a crash to the restart; undefined keeps the engine down. */
   readonly restartMs: Millis | undefined;
 }
 
@@ -32,8 +32,8 @@
 /**
  * Gets complete settings for a stand-in engine.
  *
- * @param given - What differs from the defaults.
- * @returns The settings; a decode engine holds about twenty requests of two pieces each.
+ * @param given - ID, role and overrides of the defaults.
+ * @returns The settings; by default memory for about 20 requests of 2 pieces each.
  */
 export function engineSettings(
   given: Pick<EngineSettings, 'id' | 'role'> & Partial<EngineSettings>,
--- a/packages/stand-ins/src/engine/EventQueue.ts
+++ b/packages/stand-ins/src/engine/EventQueue.ts
@@ -1,32 +1,32 @@
-/** Carries events from a producer that never waits to one consumer that iterates. */
+/** An unbounded queue from a synchronous producer to a single async consumer. */
 export class EventQueue<T> implements AsyncIterableIterator<T> {
   private readonly items: T[] = [];
 
   private ended = false;
 
-  private wake: (() => void) | undefined;
+  private wakeConsumer: (() => void) | undefined;
 
-  /** @param onReturn - Runs when the consumer stops before the end. */
+  /** @param onReturn - Called if the consumer stops iterating before the end. */
   constructor(private readonly onReturn: () => void = () => undefined) {}
 
   /** Adds an event; ignored after {@link end}. */
   push(item: T): void {
     if (this.ended) return;
     this.items.push(item);
-    this.wake?.();
+    this.wakeConsumer?.();
   }
 
-  /** Ends the iteration once all events have been taken. */
+  /** Ends the iteration after all queued events have been consumed. */
   end(): void {
     this.ended = true;
-    this.wake?.();
+    this.wakeConsumer?.();
   }
 
-  /** Gets the next event, waiting for it if there is none yet. */
+  /** Gets the next event; waits while the queue is empty. */
   async next(): Promise<IteratorResult<T>> {
     while (this.items.length === 0 && !this.ended) {
       await new Promise<void>((resolve) => {
-        this.wake = resolve;
+        this.wakeConsumer = resolve;
       });
     }
     const value = this.items.shift();
--- a/packages/stand-ins/src/engine/ExecutionRecord.ts
+++ b/packages/stand-ins/src/engine/ExecutionRecord.ts
@@ -1,15 +1,15 @@
 import type { AttemptId, Millis, Tokens, UpstreamId } from '@camphorvane/core';
 
-/** One thing that a stand-in upstream really started, kept so that tests can prove what ran. */
+/** A command or call that a stand-in upstream executed, kept so that tests can verify what ran. */
 export interface ExecutionRecord {
   readonly upstream: UpstreamId;
   readonly kind: 'prefill' | 'transfer' | 'decode' | 'call';
   readonly attempt: AttemptId;
-  /** Prompt, or method, path and body of a call. */
+  /** Prompt of a command; method, path and body of a call. */
   readonly text: string;
   readonly at: Millis;
-  /** Everything that came with the request beside its text, as the upstream saw it. */
+  /** Headers of a call as the upstream received them; empty for engine commands. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Tokens of the prompt that were computed; 0 where nothing was. */
+  /** Prompt tokens that were computed, excluding cached ones; 0 for all kinds but prefill. */
   readonly computedTokens: Tokens;
 }
--- a/packages/stand-ins/src/engine/PrefixCache.ts
+++ b/packages/stand-ins/src/engine/PrefixCache.ts
@@ -2,7 +2,7 @@
 import type { Clock, Millis, Tokens } from '@camphorvane/core';
 import { BLOCK_CHARS } from './EngineSettings.ts';
 
-/** A change of an engine's prefix cache as the engine publishes it. */
+/** A change of a prefix cache, as the engine publishes it. */
 export interface CacheEvent {
   readonly sequence: number;
   /** SHA-256 of the prompt's text up to a multiple of {@link BLOCK_CHARS} characters. */
@@ -10,28 +10,29 @@
   readonly change: 'stored' | 'evicted';
 }
 
-/** What one reading of the cache events returned. */
+/** A batch of cache events. */
 export interface CacheEventBatch {
   readonly events: readonly CacheEvent[];
+  /** Value of `after` for the next read. */
   readonly next: number;
 }
 
-/** How a prefix cache is sized and how badly it reports. */
+/** Capacity of a prefix cache, and delay and loss of its events. */
 export interface PrefixCacheSettings {
   readonly cacheBlocks: number;
   readonly cacheEventDelayMs: Millis;
   readonly cacheEventGap: number;
 }
 
-interface DatedEvent extends CacheEvent {
+interface DelayedEvent extends CacheEvent {
   readonly visibleAt: Millis;
 }
 
-/** A small least-recently-used cache of prompt prefixes, whose events come late and with gaps. */
+/** An LRU cache of prompt prefixes whose events are delayed and have gaps. */
 export class PrefixCache {
   private readonly blocks = new Map<string, true>();
 
-  private events: readonly DatedEvent[] = [];
+  private events: readonly DelayedEvent[] = [];
 
   private sequence = 0;
 
@@ -41,10 +42,10 @@
   ) {}
 
   /**
-   * Looks a text up and stores its prefixes.
+   * Looks up the longest cached prefix of a text and stores all its prefixes.
    *
    * @param text - The prompt.
-   * @returns Tokens that were in the cache already.
+   * @returns Number of tokens that were cached already.
    */
   use(text: string): Tokens {
     const prefixes = Array.from({ length: Math.floor(text.length / BLOCK_CHARS) }, (_, index) =>
@@ -57,16 +58,16 @@
     return hits === 0 ? 0 : estimateTokens(prefixes[hits - 1] ?? '');
   }
 
-  /** Forgets everything without telling anybody, as a crash does. */
+  /** Removes all entries without publishing events, as a crash does. */
   clear(): void {
     this.blocks.clear();
   }
 
   /**
-   * Reads the events that are visible by now.
+   * Reads the events whose delay has passed.
    *
    * @param after - Sequence number of the last event read.
-   * @returns Later events in order; some are missing for good.
+   * @returns Later events in order; lost events are never delivered.
    */
   read(after: number): CacheEventBatch {
     const now = this.clock.now();
@@ -88,8 +89,8 @@
 
   private publish(digest: string, change: CacheEvent['change']): void {
     this.sequence += 1;
-    const gap = this.settings.cacheEventGap;
-    if (gap > 0 && this.sequence % gap === 0) return;
+    const lossInterval = this.settings.cacheEventGap;
+    if (lossInterval > 0 && this.sequence % lossInterval === 0) return;
     const visibleAt = this.clock.now() + this.settings.cacheEventDelayMs;
     this.events = [...this.events, { sequence: this.sequence, digest, change, visibleAt }].slice(
       -this.settings.cacheBlocks,
--- a/packages/stand-ins/src/engine/SerialLane.ts
+++ b/packages/stand-ins/src/engine/SerialLane.ts
@@ -3,49 +3,49 @@
   readonly start: () => void;
 }
 
-/** Runs one task at a time, the lowest priority number first and else in order of arrival. */
+/** Runs one task at a time: lowest priority number first, FIFO within a priority. */
 export class SerialLane {
-  private busy = false;
+  private isRunning = false;
 
   private waiters: readonly Waiter[] = [];
 
-  /** Gets how many tasks wait for their turn. */
+  /** Gets the number of queued tasks. */
   waiting(): number {
     return this.waiters.length;
   }
 
   /**
-   * Runs a task when its turn comes.
+   * Queues a task and runs it.
    *
-   * @param priority - Lower goes first.
-   * @param task - Must notice an abort by itself; it is started even then, and returns at once.
-   * @returns What the task returned.
+   * @param priority - Lower numbers run first.
+   * @param task - Is started even after an abort, so it must check for one and return at once.
+   * @returns The result of the task.
    */
   async run<T>(priority: number, task: () => Promise<T>): Promise<T> {
-    await this.turn(priority);
+    await this.acquire(priority);
     try {
       return await task();
     } finally {
-      this.next();
+      this.release();
     }
   }
 
-  private turn(priority: number): Promise<void> {
-    if (!this.busy) {
-      this.busy = true;
+  private acquire(priority: number): Promise<void> {
+    if (!this.isRunning) {
+      this.isRunning = true;
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      const before = this.waiters.filter((waiter) => waiter.priority <= priority);
-      const after = this.waiters.filter((waiter) => waiter.priority > priority);
-      this.waiters = [...before, { priority, start: resolve }, ...after];
+      const ahead = this.waiters.filter((waiter) => waiter.priority <= priority);
+      const behind = this.waiters.filter((waiter) => waiter.priority > priority);
+      this.waiters = [...ahead, { priority, start: resolve }, ...behind];
     });
   }
 
-  private next(): void {
+  private release(): void {
     const [first, ...rest] = this.waiters;
     this.waiters = rest;
-    if (first === undefined) this.busy = false;
+    if (first === undefined) this.isRunning = false;
     else first.start();
   }
 }
--- a/packages/stand-ins/src/engine/answer.ts
+++ b/packages/stand-ins/src/engine/answer.ts
@@ -1,46 +1,46 @@
 import { hashNumber, sha256Hex } from '@camphorvane/core';
 import type { Tokens } from '@camphorvane/core';
 
-/** Characters of one output token; four bytes count as one token everywhere in the project. */
+/** Characters of one output token, equal to the estimate of 4 bytes a token used by the router. */
 export const CHARS_PER_TOKEN = 4;
 
 const DIGITS_PER_TOKEN = CHARS_PER_TOKEN - 1;
-const SHORTEST_ANSWER = 12;
-const ANSWER_SPREAD = 36;
+const MIN_ANSWER_TOKENS = 12;
+const ANSWER_TOKENS_SPREAD = 36;
 
 /**
  * Gets the text of one output token.
  *
- * @param prompt - The prompt that is answered.
- * @param position - Counted from 0 at the start of the answer.
- * @returns Four characters that depend on both, so that a caller can verify each position.
+ * @param prompt - The prompt.
+ * @param position - Token position in the answer, from 0.
+ * @returns 4 characters derived from prompt and position, so that callers can verify each position.
  */
 export function answerToken(prompt: string, position: number): string {
   return `${sha256Hex(`${position}:${prompt}`).slice(0, DIGITS_PER_TOKEN)} `;
 }
 
 /**
- * Gets how many tokens the whole answer to a prompt has.
+ * Gets the length of the complete answer to a prompt.
  *
- * @param prompt - The prompt; `#tokens=N` in it asks for an answer of N tokens.
- * @param maxTokens - Most tokens that the caller allows.
- * @returns The number of tokens.
+ * @param prompt - The prompt; `#tokens=N` in it requests an answer of N tokens.
+ * @param maxTokens - Upper limit set by the caller.
+ * @returns Number of tokens.
  */
 export function answerLength(prompt: string, maxTokens: Tokens): Tokens {
-  const asked = /#tokens=(\d+)/.exec(prompt)?.[1];
+  const requested = /#tokens=(\d+)/.exec(prompt)?.[1];
   const natural =
-    asked === undefined
-      ? SHORTEST_ANSWER + (hashNumber(prompt) % ANSWER_SPREAD)
-      : Math.max(1, Number(asked));
+    requested === undefined
+      ? MIN_ANSWER_TOKENS + (hashNumber(prompt) % ANSWER_TOKENS_SPREAD)
+      : Math.max(1, Number(requested));
   return Math.min(natural, maxTokens);
 }
 
 /**
- * Gets the whole answer that a stand-in engine gives.
+ * Gets the complete answer of a stand-in engine.
  *
  * @param prompt - The prompt.
- * @param maxTokens - Most tokens that the caller allows.
- * @returns The text from position 0 to the end.
+ * @param maxTokens - Upper limit set by the caller.
+ * @returns Text of all tokens.
  */
 export function answerText(prompt: string, maxTokens: Tokens): string {
   return Array.from({ length: answerLength(prompt, maxTokens) }, (_, position) =>
--- a/packages/stand-ins/src/engine/engineErrors.ts
+++ b/packages/stand-ins/src/engine/engineErrors.ts
@@ -1,6 +1,6 @@
 import type { UpstreamError } from '@camphorvane/upstream';
 
-/** The error of an upstream that nobody listens for. */
+/** Error of an upstream that refuses connections. */
 export const REFUSED: UpstreamError = {
   type: 'unreachable',
   dispatched: false,
@@ -8,9 +8,9 @@
 };
 
 /**
- * Makes the error of a command that the upstream did not run.
+ * Creates the error of a command that the upstream rejected without running it.
  *
- * @param message - Why it did not.
+ * @param message - Reason for the rejection.
  * @returns The error.
  */
 export function rejected(message: string): UpstreamError {
--- a/packages/stand-ins/src/engine/engineRoutes.ts
+++ b/packages/stand-ins/src/engine/engineRoutes.ts
@@ -16,21 +16,21 @@
 type Ctx = Context<NodeEnv>;
 type Events = AsyncIterator<Result<DecodeEvent, UpstreamError>>;
 
-/** Answers a failed command: JSON where it did not run, a broken connection in all other cases. */
-function fail(c: Ctx, error: UpstreamError, status: 409 | 422 = 422): Response {
+/** Answers a failed command: JSON if it was rejected, otherwise closes the connection. */
+function errorResponse(c: Ctx, error: UpstreamError, status: 409 | 422 = 422): Response {
   if (error.type !== 'rejected') return breakConnection(c);
   return c.json({ message: error.message }, status);
 }
 
-/** Turns a decode into lines of JSON; a broken stream breaks the connection. */
-function lines(c: Ctx, first: DecodeEvent, rest: Events): ReadableStream<Uint8Array> {
-  const line = (event: DecodeEvent): Uint8Array => Buffer.from(`${JSON.stringify(event)}\n`);
+/** Encodes a decode stream as NDJSON; closes the connection if the stream fails. */
+function ndjsonBody(c: Ctx, first: DecodeEvent, rest: Events): ReadableStream<Uint8Array> {
+  const encode = (event: DecodeEvent): Uint8Array => Buffer.from(`${JSON.stringify(event)}\n`);
   return new ReadableStream<Uint8Array>({
-    start: (out) => out.enqueue(line(first)),
+    start: (out) => out.enqueue(encode(first)),
     pull: async (out) => {
       const next = await rest.next();
       if (next.done) out.close();
-      else if (next.value.isOk()) out.enqueue(line(next.value.value));
+      else if (next.value.isOk()) out.enqueue(encode(next.value.value));
       else c.env.incoming.socket.destroy();
     },
     cancel: async () => {
@@ -44,13 +44,13 @@
   const events = core.decode(cmd, clientGone(c))[Symbol.asyncIterator]();
   const first = await events.next();
   if (first.done) return breakConnection(c);
-  if (first.value.isErr()) return fail(c, first.value.error);
-  const body = lines(c, first.value.value, events);
+  if (first.value.isErr()) return errorResponse(c, first.value.error);
+  const body = ndjsonBody(c, first.value.value, events);
   return c.body(body, 200, { 'content-type': 'application/x-ndjson' });
 }
 
 /**
- * Serves a stand-in engine over HTTP.
+ * Creates the HTTP routes of a stand-in engine.
  *
  * @param core - The engine.
  * @returns The routes.
@@ -61,14 +61,14 @@
     const result = await core.prefill(await c.req.json<PrefillCommand>(), clientGone(c));
     return result.match(
       (value) => c.json(value),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.post('/v1/transfer', async (c) => {
     const result = await core.transfer(await c.req.json<TransferCommand>(), clientGone(c));
     return result.match(
       () => c.body(null, 204),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.post('/v1/decode', (c) => decode(core, c));
@@ -77,21 +77,21 @@
     const result = await core.cancel(attempt);
     return result.match(
       () => c.body(null, 204),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.get('/v1/load', async (c) => {
     const result = await core.load();
     return result.match(
       (value) => c.json(value),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.post('/v1/orders', async (c) => {
     const result = await core.order(await c.req.json<EngineOrder>());
     return result.match(
       () => c.body(null, 204),
-      (error) => fail(c, error, 409),
+      (error) => errorResponse(c, error, 409),
     );
   });
   app.get('/v1/cache-events', (c) => c.json(core.cacheEvents(Number(c.req.query('after') ?? 0))));
--- a/packages/stand-ins/src/engine/interruptible.ts
+++ b/packages/stand-ins/src/engine/interruptible.ts
@@ -1,16 +1,16 @@
 import { setMaxListeners } from 'node:events';
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
-/** How a wait ended. */
+/** Result of a wait: the time elapsed, or the signal aborted first. */
 export type Waited = 'elapsed' | 'interrupted';
 
 /**
- * Waits until a time has passed or a signal aborts.
+ * Waits until a duration has elapsed or a signal aborts.
  *
- * @param clock - The clock to wait on.
- * @param millis - How long to wait; undefined waits for the signal alone.
+ * @param clock - Clock that times the wait.
+ * @param millis - Duration; undefined waits for the signal only.
  * @param signal - Ends the wait early.
- * @returns How the wait ended.
+ * @returns Why the wait ended.
  */
 export function interruptible(
   clock: Clock,
@@ -22,21 +22,24 @@
       resolve('interrupted');
       return;
     }
-    let cancel: CancelTimer = () => undefined;
-    const interrupt = (): void => {
-      cancel();
+    let cancelTimer: CancelTimer = () => undefined;
+    const onAbort = (): void => {
+      cancelTimer();
       resolve('interrupted');
     };
-    signal.addEventListener('abort', interrupt, { once: true });
+    signal.addEventListener('abort', onAbort, { once: true });
     if (millis === undefined) return;
-    cancel = clock.after(millis, () => {
-      signal.removeEventListener('abort', interrupt);
+    cancelTimer = clock.after(millis, () => {
+      signal.removeEventListener('abort', onAbort);
       resolve('elapsed');
     });
   });
 }
 
-/** Makes a controller whose signal any number of exchanges may listen to. */
+/**
+ * Creates an abort controller without Node's warning about many listeners: every call in flight
+ * may listen to its signal.
+ */
 export function manyListeners(): AbortController {
   const controller = new AbortController();
   setMaxListeners(0, controller.signal);
