--- a/packages/stand-ins/src/service/ServiceCore.ts
+++ b/packages/stand-ins/src/service/ServiceCore.ts
@@ -8,26 +8,26 @@
 import type { ExecutionRecord } from '../engine/ExecutionRecord.ts';
 import { interruptible, manyListeners } from '../engine/interruptible.ts';
 
-/** Header in which a service gets the attempt's id and gives it back. */
+/** Request header with the attempt ID, which the service echoes in its response. */
 export const ATTEMPT_HEADER = 'x-camphorvane-attempt';
 
-/** What a service answers; a caller verifies with it that the answer is its own. */
+/** Response body; lets a caller verify that the answer belongs to its request. */
 export interface ServiceAnswerBody {
   readonly server: UpstreamId;
   readonly path: string;
-  /** SHA-256 of the body that was answered. */
+  /** SHA-256 of the request body. */
   readonly bodyDigest: string;
-  /** Grows with each execution at this server. */
+  /** Number of executions at this server so far. */
   readonly serial: number;
 }
 
-/** How a stand-in service behaves while healthy. */
+/** Behavior of a stand-in service without faults. */
 export interface ServiceSettings {
   readonly id: UpstreamId;
   readonly delayMs: Millis;
-  /** How long the server is away after a crash; undefined keeps it down. */
+  /** Time from a crash to the restart; undefined keeps the server down. */
   readonly restartMs: Millis | undefined;
-  /** A broken server that runs each call so many times; 1 is right. Proves that checks can fail. */
+  /** Executions of each call; more than 1 is a faulty server, to test that checks detect it. */
   readonly runsPerCall: number;
 }
 
@@ -39,63 +39,63 @@
 }
 
 /**
- * A stand-in server of a plain service.
+ * An in-memory server of a plain service for tests.
  *
- * A call takes effect halfway through its delay, and a caller who has gone by then changes
- * nothing: so a lost answer and a crash can each come before or after the effect.
+ * A call takes effect halfway through its delay, even if the caller has disconnected by then. So a
+ * crash or a lost answer can occur before or after the effect.
  */
 export class ServiceCore implements PlainServer {
-  /** Everything that took effect here. */
+  /** Calls that took effect, oldest first. */
   readonly records: ExecutionRecord[] = [];
 
   private faultState: EngineFaults = NO_ENGINE_FAULTS;
 
-  private life = manyListeners();
+  private crashController = manyListeners();
 
-  private lostAnswers = 0;
+  private answersToLose = 0;
 
-  private refusals = 0;
+  private callsToReject = 0;
 
   constructor(
     private readonly settings: ServiceSettings,
     private readonly clock: Clock,
   ) {}
 
-  /** Gets the server's name. */
+  /** Gets the ID of the server. */
   get id(): UpstreamId {
     return this.settings.id;
   }
 
-  /** Gets what is wrong with the server. */
+  /** Gets the injected faults. */
   get faults(): EngineFaults {
     return this.faultState;
   }
 
-  /** Changes what is wrong with the server. */
+  /** Changes the given faults and leaves the others unchanged. */
   setFaults(change: Partial<EngineFaults>): void {
     this.faultState = { ...this.faultState, ...change };
   }
 
-  /** Loses the answers of the next calls after they took effect. */
+  /** Drops the answers of the next `count` calls after they took effect. */
   loseAnswers(count: number): void {
-    this.lostAnswers += count;
+    this.answersToLose += count;
   }
 
-  /** Refuses the next calls before they run. */
+  /** Rejects the next `count` calls before they run. */
   refuse(count: number): void {
-    this.refusals += count;
+    this.callsToReject += count;
   }
 
-  /** Breaks all calls; the server comes back after its restart time. */
+  /** Fails all calls in flight; restarts after `restartMs`, if set. */
   crash(): void {
-    this.life.abort();
-    this.life = manyListeners();
+    this.crashController.abort();
+    this.crashController = manyListeners();
     this.setFaults({ down: true, silent: false });
     const { restartMs } = this.settings;
     if (restartMs !== undefined) this.clock.after(restartMs, () => this.setFaults({ down: false }));
   }
 
-  /** Gets how often calls with an idempotency key took effect here. */
+  /** Gets the number of executions with an idempotency key. */
   executions(idempotencyKey: string): number {
     return this.records.filter((record) => record.headers['idempotency-key'] === idempotencyKey)
       .length;
@@ -113,22 +113,24 @@
     if (this.faultState.down) {
       return err({ type: 'unreachable', dispatched: false, message: 'connection refused' });
     }
-    if (this.refusals > 0) {
-      this.refusals -= 1;
+    if (this.callsToReject > 0) {
+      this.callsToReject -= 1;
       return err({ type: 'rejected', dispatched: false, message: 'busy' });
     }
-    const life = this.life.signal;
-    const half = (this.settings.delayMs * this.faultState.slowFactor) / 2;
-    if ((await interruptible(this.clock, half, life)) === 'interrupted') return err(this.broken());
+    const crash = this.crashController.signal;
+    const halfMs = (this.settings.delayMs * this.faultState.slowFactor) / 2;
+    if ((await interruptible(this.clock, halfMs, crash)) === 'interrupted')
+      return err(this.broken());
     const body = Buffer.from(call.body).toString('utf8');
     this.execute(call, body);
     const { poison } = this.faultState;
     if (poison !== undefined && body.includes(poison)) this.crash();
-    if ((await interruptible(this.clock, half, life)) === 'interrupted') return err(this.broken());
+    if ((await interruptible(this.clock, halfMs, crash)) === 'interrupted')
+      return err(this.broken());
     if (this.faultState.silent) await interruptible(this.clock, undefined, signal);
     if (signal.aborted) return err({ type: 'cancelled', dispatched: true, message: 'caller gone' });
-    if (this.lostAnswers > 0) {
-      this.lostAnswers -= 1;
+    if (this.answersToLose > 0) {
+      this.answersToLose -= 1;
       return err(this.broken());
     }
     return ok(this.answer(call, body));
@@ -149,19 +151,19 @@
 
   private answer(call: ServiceCall, body: string): ServiceAnswer {
     const { crossedStreams } = this.faultState;
-    const crossed = crossedStreams > 0;
-    if (crossed) this.setFaults({ crossedStreams: crossedStreams - 1 });
-    const shown: ServiceAnswerBody = {
+    const isCrossed = crossedStreams > 0;
+    if (isCrossed) this.setFaults({ crossedStreams: crossedStreams - 1 });
+    const answerBody: ServiceAnswerBody = {
       server: this.id,
-      path: crossed ? '/of/a/stranger' : call.path,
-      bodyDigest: sha256Hex(crossed ? 'body of a stranger' : body),
+      path: isCrossed ? '/of/a/stranger' : call.path,
+      bodyDigest: sha256Hex(isCrossed ? 'body of a stranger' : body),
       serial: this.records.length,
     };
-    const attempt = crossed ? 'attempt-of-a-stranger' : call.attempt;
+    const attempt = isCrossed ? 'attempt-of-a-stranger' : call.attempt;
     return {
       status: 200,
       headers: { 'content-type': 'application/json', [ATTEMPT_HEADER]: attempt },
-      body: Buffer.from(JSON.stringify(shown)),
+      body: Buffer.from(JSON.stringify(answerBody)),
     };
   }
 
--- a/packages/stand-ins/src/service/serviceRoutes.ts
+++ b/packages/stand-ins/src/service/serviceRoutes.ts
@@ -7,7 +7,7 @@
 const CALL_TIMEOUT_MS = 30_000;
 
 /**
- * Serves a stand-in service over HTTP.
+ * Creates the HTTP routes of a stand-in service.
  *
  * @param core - The service.
  * @returns The routes.
