--- a/packages/stand-ins/src/platform/CallRate.ts
+++ b/packages/stand-ins/src/platform/CallRate.ts
@@ -2,35 +2,35 @@
 
 const SECOND_MS = 1000;
 
-/** A rate limit with a burst of one second, as the platform's service has it. */
+/** A token bucket with a burst of one second, like the rate limit of the platform. */
 export class CallRate {
-  private available: number;
+  private tokens: number;
 
-  private at: Millis;
+  private refilledAt: Millis;
 
   constructor(
     private readonly clock: Clock,
     perSecond: number,
   ) {
-    this.available = perSecond;
-    this.at = clock.now();
+    this.tokens = perSecond;
+    this.refilledAt = clock.now();
   }
 
   /**
-   * Takes one call.
+   * Takes a token for one call.
    *
-   * @param perSecond - The rate in force.
-   * @returns Milliseconds to wait before the next try, or undefined where the call may go ahead.
+   * @param perSecond - Current refill rate; also the capacity.
+   * @returns Milliseconds until the next attempt, or undefined if the call is admitted.
    */
   take(perSecond: number): Millis | undefined {
     const now = this.clock.now();
-    const accrued = ((now - this.at) / SECOND_MS) * perSecond;
-    this.available = Math.min(perSecond, this.available + accrued);
-    this.at = now;
-    if (this.available < 1) {
-      return Math.ceil(((1 - this.available) / Math.max(1, perSecond)) * SECOND_MS);
+    const accrued = ((now - this.refilledAt) / SECOND_MS) * perSecond;
+    this.tokens = Math.min(perSecond, this.tokens + accrued);
+    this.refilledAt = now;
+    if (this.tokens < 1) {
+      return Math.ceil(((1 - this.tokens) / Math.max(1, perSecond)) * SECOND_MS);
     }
-    this.available -= 1;
+    this.tokens -= 1;
     return undefined;
   }
 }
--- a/packages/stand-ins/src/platform/MemoryObjectStore.ts
+++ b/packages/stand-ins/src/platform/MemoryObjectStore.ts
@@ -19,21 +19,21 @@
 import type { StoreFaults } from './StoreFaults.ts';
 
 const MAX_VALUE_BYTES = 1_048_576;
-const KEPT_EVENTS = 100_000;
+const MAX_EVENTS = 100_000;
 
 const UNAVAILABLE: PlatformError = { type: 'unavailable', message: 'platform is down' };
 
-/** Milliseconds after its last announcement at which a host is taken for gone. */
-const ANNOUNCEMENT_LIFE_MS: Millis = 15_000;
+/** Time after its last heartbeat until a host is left out of the list. */
+const HEARTBEAT_TTL_MS: Millis = 15_000;
 
-interface HostList {
+interface HostListVersion {
   readonly at: Millis;
   readonly hosts: readonly HostEntry[];
 }
 
-/** A stand-in of the platform's object API in memory, with its outages and lost answers. */
+/** An in-memory object API of the platform for tests, with injected outages and lost answers. */
 export class MemoryObjectStore implements ObjectStore, HostRegistry {
-  /** Calls taken so far, for tests of the call budget. */
+  /** Number of calls received, for tests of the call budget. */
   readonly calls = { reads: 0, writes: 0 };
 
   private faultState: StoreFaults = NO_STORE_FAULTS;
@@ -44,31 +44,31 @@
 
   private events: readonly WatchEvent[] = [];
 
-  private readonly waiting = new Set<AbortController>();
+  private readonly pendingWatches = new Set<AbortController>();
 
-  private readonly announcedAt = new Map<HostId, Millis>();
+  private readonly heartbeatAt = new Map<HostId, Millis>();
 
-  private hostLists: readonly HostList[] = [];
+  private hostListHistory: readonly HostListVersion[] = [];
 
   private readonly reads: CallRate;
 
   private readonly writes: CallRate;
 
-  /** @param clock - The time that the platform lives in. */
+  /** @param clock - Clock for all delays and timestamps. */
   constructor(private readonly clock: Clock) {
     this.reads = new CallRate(clock, NO_STORE_FAULTS.readsPerSecond);
     this.writes = new CallRate(clock, NO_STORE_FAULTS.writesPerSecond);
   }
 
-  /** Gets what is wrong with the platform. */
+  /** Gets the injected faults. */
   get faults(): StoreFaults {
     return this.faultState;
   }
 
-  /** Changes what is wrong with the platform; waiting watches break when it goes down. */
+  /** Changes the given faults; going down fails all pending watches. */
   setFaults(change: Partial<StoreFaults>): void {
     this.faultState = { ...this.faultState, ...change };
-    if (this.faultState.down) this.wakeWatches();
+    if (this.faultState.down) this.wakePendingWatches();
   }
 
   /** Reads one object. */
@@ -76,7 +76,7 @@
     return this.read(() => ok(this.objects.get(keyOf(kind, name))));
   }
 
-  /** Writes one object if what is stored is as expected. */
+  /** Writes one object if its stored version is the expected one. */
   put(
     kind: string,
     name: string,
@@ -86,7 +86,7 @@
     return this.write(() => this.store(kind, name, value, expected));
   }
 
-  /** Removes one object if its version is as expected. */
+  /** Removes one object if its stored version is the expected one. */
   remove(kind: string, name: string, expected: ObjectVersion): ResultAsync<void, PlatformError> {
     return this.write(() => {
       const current = this.objects.get(keyOf(kind, name));
@@ -109,7 +109,7 @@
     );
   }
 
-  /** Waits for changes of a kind after a version. */
+  /** Long-polls for changes of a kind after a version. */
   watch(
     kind: string,
     after: ObjectVersion,
@@ -121,26 +121,26 @@
     );
   }
 
-  /** Reads the list of hosts as it was a while ago. */
+  /** Reads the list of hosts as it was `hostListLagMs` ago. */
   hosts(): ResultAsync<readonly HostEntry[], PlatformError> {
     return this.read(() => {
       const shownAt = this.clock.now() - this.faultState.hostListLagMs;
-      const shown = this.hostLists.filter((list) => list.at <= shownAt).at(-1);
-      return ok((shown?.hosts ?? []).filter((host) => this.isAnnounced(host.id, shownAt)));
+      const shown = this.hostListHistory.filter((list) => list.at <= shownAt).at(-1);
+      return ok((shown?.hosts ?? []).filter((host) => this.hasHeartbeat(host.id, shownAt)));
     });
   }
 
-  /** Takes in a host's heartbeat. */
+  /** Records a heartbeat of a host. */
   announce(entry: HostEntry): ResultAsync<void, PlatformError> {
     return this.write(() => {
-      this.announcedAt.set(entry.id, this.clock.now());
+      this.heartbeatAt.set(entry.id, this.clock.now());
       const known = this.currentHosts().find((host) => host.id === entry.id);
       if (JSON.stringify(known) !== JSON.stringify(entry)) this.setHost(entry);
       return ok(undefined);
     });
   }
 
-  /** Takes a host off the list at its own wish. */
+  /** Removes a host that leaves. */
   withdraw(id: HostId): ResultAsync<void, PlatformError> {
     return this.write(() => {
       this.removeHost(id);
@@ -148,34 +148,34 @@
     });
   }
 
-  /** Enters a host into the list, or changes its entry; readers see it after the lag. */
+  /** Adds or replaces the entry of a host; readers see it after `hostListLagMs`. */
   setHost(entry: HostEntry): void {
     const others = this.currentHosts().filter((host) => host.id !== entry.id);
     this.changeHosts([...others, entry].sort((a, b) => (a.id < b.id ? -1 : 1)));
   }
 
-  /** Takes a host out of the list. */
+  /** Removes a host from the list; readers see it after `hostListLagMs`. */
   removeHost(id: HostId): void {
     this.changeHosts(this.currentHosts().filter((host) => host.id !== id));
   }
 
-  /** Gets all objects without a call, for checks of tests. */
+  /** Gets all objects for assertions in tests, without counting as a call. */
   snapshot(): readonly StoredObject[] {
     return [...this.objects.values()];
   }
 
-  /** A host that a test entered by hand stays; one that announces itself stays while it does. */
-  private isAnnounced(id: HostId, at: Millis): boolean {
-    const last = this.announcedAt.get(id);
-    return last === undefined || at - last <= ANNOUNCEMENT_LIFE_MS;
+  /** Tells whether the heartbeat of a host is recent; hosts added by `setHost` need none. */
+  private hasHeartbeat(id: HostId, at: Millis): boolean {
+    const last = this.heartbeatAt.get(id);
+    return last === undefined || at - last <= HEARTBEAT_TTL_MS;
   }
 
   private currentHosts(): readonly HostEntry[] {
-    return this.hostLists.at(-1)?.hosts ?? [];
+    return this.hostListHistory.at(-1)?.hosts ?? [];
   }
 
   private changeHosts(hosts: readonly HostEntry[]): void {
-    this.hostLists = [...this.hostLists, { at: this.clock.now(), hosts }];
+    this.hostListHistory = [...this.hostListHistory, { at: this.clock.now(), hosts }];
   }
 
   private store(
@@ -198,12 +198,12 @@
   }
 
   private publish(event: WatchEvent): void {
-    this.events = [...this.events, event].slice(-KEPT_EVENTS);
-    this.wakeWatches();
+    this.events = [...this.events, event].slice(-MAX_EVENTS);
+    this.wakePendingWatches();
   }
 
-  private wakeWatches(): void {
-    this.waiting.forEach((waiter) => waiter.abort());
+  private wakePendingWatches(): void {
+    this.pendingWatches.forEach((wakeController) => wakeController.abort());
   }
 
   private async waitForChange(
@@ -212,14 +212,14 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<Result<WatchBatch, PlatformError>> {
-    const until = this.clock.now() + waitMs;
+    const deadline = this.clock.now() + waitMs;
     let found = this.changesAfter(kind, after);
-    while (found.length === 0 && this.clock.now() < until && !signal.aborted) {
-      const waiter = new AbortController();
-      this.waiting.add(waiter);
-      const ended = AbortSignal.any([waiter.signal, signal]);
-      await interruptible(this.clock, until - this.clock.now(), ended);
-      this.waiting.delete(waiter);
+    while (found.length === 0 && this.clock.now() < deadline && !signal.aborted) {
+      const wakeController = new AbortController();
+      this.pendingWatches.add(wakeController);
+      const ended = AbortSignal.any([wakeController.signal, signal]);
+      await interruptible(this.clock, deadline - this.clock.now(), ended);
+      this.pendingWatches.delete(wakeController);
       if (this.faultState.down) return err(UNAVAILABLE);
       found = this.changesAfter(kind, after);
     }
@@ -232,30 +232,30 @@
 
   private read<T>(run: () => Result<T, PlatformError>): ResultAsync<T, PlatformError> {
     this.calls.reads += 1;
-    const wait = this.reads.take(this.faultState.readsPerSecond);
-    return new ResultAsync(this.answer(run, wait));
+    const retryAfterMs = this.reads.take(this.faultState.readsPerSecond);
+    return new ResultAsync(this.answer(run, retryAfterMs));
   }
 
   private write<T>(run: () => Result<T, PlatformError>): ResultAsync<T, PlatformError> {
     this.calls.writes += 1;
-    const wait = this.writes.take(this.faultState.writesPerSecond);
-    return new ResultAsync(this.answer(() => this.loseAnswer(run()), wait));
+    const retryAfterMs = this.writes.take(this.faultState.writesPerSecond);
+    return new ResultAsync(this.answer(() => this.dropAnswer(run()), retryAfterMs));
   }
 
   private async answer<T>(
     run: () => Result<T, PlatformError>,
     retryAfterMs: Millis | undefined,
   ): Promise<Result<T, PlatformError>> {
-    const half = this.faultState.delayMs / 2;
-    await sleep(this.clock, half);
+    const halfDelayMs = this.faultState.delayMs / 2;
+    await sleep(this.clock, halfDelayMs);
     if (this.faultState.down) return err(UNAVAILABLE);
     if (retryAfterMs !== undefined) return err({ type: 'over_budget', retryAfterMs });
     const result = run();
-    await sleep(this.clock, half);
+    await sleep(this.clock, halfDelayMs);
     return result;
   }
 
-  private loseAnswer<T>(result: Result<T, PlatformError>): Result<T, PlatformError> {
+  private dropAnswer<T>(result: Result<T, PlatformError>): Result<T, PlatformError> {
     const { lostAnswers } = this.faultState;
     if (lostAnswers === 0 || result.isErr()) return result;
     this.setFaults({ lostAnswers: lostAnswers - 1 });
--- a/packages/stand-ins/src/platform/StoreFaults.ts
+++ b/packages/stand-ins/src/platform/StoreFaults.ts
@@ -1,19 +1,19 @@
 import type { Millis } from '@camphorvane/core';
 
-/** What is wrong with the stand-in platform at the moment, and what it allows. */
+/** Faults that are injected into the stand-in platform, and its rate limits. */
 export interface StoreFaults {
   readonly down: boolean;
-  /** Time that each call takes. */
+  /** Duration of each call. */
   readonly delayMs: Millis;
-  /** How many of the next writes take effect without an answer. */
+  /** Number of upcoming writes that take effect but whose answer is lost. */
   readonly lostAnswers: number;
-  /** How old the list of hosts is. */
+  /** Age of the host list that readers get. */
   readonly hostListLagMs: Millis;
   readonly writesPerSecond: number;
   readonly readsPerSecond: number;
 }
 
-/** A healthy platform of today's rates. */
+/** No faults, and the rate limits of the real platform. */
 export const NO_STORE_FAULTS: StoreFaults = {
   down: false,
   delayMs: 3,
--- a/packages/stand-ins/src/platform/storeRoutes.ts
+++ b/packages/stand-ins/src/platform/storeRoutes.ts
@@ -7,15 +7,15 @@
 
 type Ctx = Context<NodeEnv>;
 
-const DEFAULT_WAIT_MS = 20_000;
+const DEFAULT_WATCH_WAIT_MS = 20_000;
 
-function fail(c: Ctx, error: PlatformError): Response {
+function errorResponse(c: Ctx, error: PlatformError): Response {
   switch (error.type) {
     case 'conflict':
       return c.json(error.current === undefined ? {} : { current: error.current }, 412);
     case 'over_budget':
       c.header('retry-after', String(Math.ceil(error.retryAfterMs / 1000)));
-      return c.json({ message: 'over the rate' }, 429);
+      return c.json({ message: 'rate limit exceeded' }, 429);
     case 'invalid':
       return c.json({ message: error.message }, 422);
     case 'unavailable':
@@ -26,17 +26,17 @@
   }
 }
 
-/** Gets what a write expects from its conditional headers; undefined where they say nothing. */
+/** Parses the conditional headers of a write; undefined if they are missing or malformed. */
 function expectedOf(c: Ctx): Expected | undefined {
   if (c.req.header('if-none-match') === '*') return 'absent';
   const version = /^"(\d+)"$/.exec(c.req.header('if-match') ?? '')?.[1];
   return version === undefined ? undefined : Number(version);
 }
 
-const MISSING = { message: 'If-Match or If-None-Match: * is needed' };
+const PRECONDITION_REQUIRED = { message: 'If-Match or If-None-Match: * is required' };
 
 /**
- * Serves a stand-in platform over HTTP.
+ * Creates the HTTP routes of a stand-in platform.
  *
  * @param store - The platform.
  * @returns The routes.
@@ -48,49 +48,49 @@
     return result.match(
       (object) =>
         object === undefined ? c.json({ message: 'no such object' }, 404) : c.json(object),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.put('/v1/objects/:kind/:name', async (c) => {
     const expected = expectedOf(c);
-    if (expected === undefined) return c.json(MISSING, 428);
+    if (expected === undefined) return c.json(PRECONDITION_REQUIRED, 428);
     const { kind, name } = c.req.param();
     const result = await store.put(kind, name, await c.req.json<unknown>(), expected);
     return result.match(
       (object) => c.json(object, expected === 'absent' ? 201 : 200),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.delete('/v1/objects/:kind/:name', async (c) => {
     const expected = expectedOf(c);
-    if (typeof expected !== 'number') return c.json(MISSING, 428);
+    if (typeof expected !== 'number') return c.json(PRECONDITION_REQUIRED, 428);
     const result = await store.remove(c.req.param('kind'), c.req.param('name'), expected);
     return result.match(
       () => c.body(null, 204),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.get('/v1/objects/:kind', async (c) => {
     const result = await store.list(c.req.param('kind'), c.req.query('prefix') ?? '');
     return result.match(
       (objects) => c.json({ objects }),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.get('/v1/watch/:kind', async (c) => {
     const after = Number(c.req.query('after') ?? 0);
-    const waitMs = Number(c.req.query('waitMs') ?? DEFAULT_WAIT_MS);
+    const waitMs = Number(c.req.query('waitMs') ?? DEFAULT_WATCH_WAIT_MS);
     const result = await store.watch(c.req.param('kind'), after, waitMs, clientGone(c));
     return result.match(
       (batch) => c.json(batch),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.get('/v1/hosts', async (c) => {
     const result = await store.hosts();
     return result.match(
       (hosts) => c.json({ hosts }),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.put('/v1/hosts/:id', async (c) => {
@@ -98,14 +98,14 @@
     const result = await store.announce(entry);
     return result.match(
       () => c.body(null, 204),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.delete('/v1/hosts/:id', async (c) => {
     const result = await store.withdraw(c.req.param('id'));
     return result.match(
       () => c.body(null, 204),
-      (error) => fail(c, error),
+      (error) => errorResponse(c, error),
     );
   });
   app.post('/test/faults', async (c) => {
