--- a/packages/stand-ins/src/network/MemoryNetwork.ts
+++ b/packages/stand-ins/src/network/MemoryNetwork.ts
@@ -13,23 +13,23 @@
 import type { Result } from 'neverthrow';
 import { interruptible } from '../engine/interruptible.ts';
 
-/** How the links between hosts behave. */
+/** Latency and loss of the links between hosts. */
 export interface NetworkSettings {
   readonly latencyMs: Millis;
-  /** Share of messages that are lost, from 0 to 1. */
+  /** Probability that a message is lost, from 0 to 1. */
   readonly loss: number;
 }
 
 type Answer = Result<PeerResponse, PeerError>;
 
-/** What a sender gets of a message that did not arrive. */
-const NEVER = new Promise<Answer>(() => {});
+/** Pending answer of a lost message. */
+const NO_ANSWER = new Promise<Answer>(() => {});
 
-const directed = (from: HostId, to: HostId): string => `${from}>${to}`;
+const linkKey = (from: HostId, to: HostId): string => `${from}>${to}`;
 
 /**
- * Links between hosts in memory: each message takes the latency, may be lost, and does not pass a
- * cut. A lost or cut message is not noticed by its sender other than by its own timeout.
+ * An in-memory network between hosts with latency, message loss and partitions. The sender of an
+ * undelivered message learns of it only by its own timeout.
  */
 export class MemoryNetwork {
   private readonly handlers = new Map<HostId, PeerHandler>();
@@ -44,46 +44,49 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Starts to listen for a host; a second call replaces the first. */
+  /** Registers the handler of a host, replacing an earlier one. */
   attach(host: HostId, handler: PeerHandler): void {
     this.handlers.set(host, handler);
   }
 
-  /** Stops listening for a host: later messages to it are refused. */
+  /** Removes the handler of a host: later messages to it are refused. */
   detach(host: HostId): void {
     this.handlers.delete(host);
   }
 
-  /** Cuts the way from one host to another; the way back stays. */
+  /** Drops all messages from one host to another; the reverse direction stays up. */
   cutOneWay(from: HostId, to: HostId): void {
-    this.cuts.add(directed(from, to));
+    this.cuts.add(linkKey(from, to));
   }
 
-  /** Cuts both ways between two hosts. */
+  /** Drops all messages between two hosts, in both directions. */
   cut(a: HostId, b: HostId): void {
     this.cutOneWay(a, b);
     this.cutOneWay(b, a);
   }
 
-  /** Undoes all cuts and silences between two hosts. */
+  /** Undoes {@link cut}, {@link cutOneWay} and {@link silence} between two hosts. */
   heal(a: HostId, b: HostId): void {
-    [directed(a, b), directed(b, a)].forEach((way) => {
-      this.cuts.delete(way);
-      this.silent.delete(way);
+    [linkKey(a, b), linkKey(b, a)].forEach((key) => {
+      this.cuts.delete(key);
+      this.silent.delete(key);
     });
   }
 
-  /** Lets the open connection between two hosts go silent; one opened after a timeout works. */
+  /**
+   * Drops all messages on the open connection between two hosts without closing it. A direction
+   * recovers after a timeout of its sender, as if it had reconnected.
+   */
   silence(a: HostId, b: HostId): void {
-    this.silent.add(directed(a, b));
-    this.silent.add(directed(b, a));
+    this.silent.add(linkKey(a, b));
+    this.silent.add(linkKey(b, a));
   }
 
   /**
-   * Gets the link of one host to all others.
+   * Creates the link of one host to all others.
    *
-   * @param sender - Who sends.
-   * @param clock - The sender's clock, which times its calls out.
+   * @param sender - The sending host.
+   * @param clock - Clock of the sender, for its timeouts.
    * @returns The link.
    */
   link(sender: PeerSender, clock: Clock): PeerLink {
@@ -101,7 +104,7 @@
   ): Promise<Answer> {
     const done = new AbortController();
     const timedOut = interruptible(clock, timeoutMs, done.signal).then((): Answer => {
-      this.silent.delete(directed(sender.host, to.host));
+      this.silent.delete(linkKey(sender.host, to.host));
       return err({ type: 'timeout', message: `${to.host} did not answer in ${timeoutMs} ms` });
     });
     const answer = await Promise.race([this.roundTrip(sender, to.host, req), timedOut]);
@@ -110,20 +113,20 @@
   }
 
   private async roundTrip(sender: PeerSender, to: HostId, req: PeerRequest): Promise<Answer> {
-    const arrived = await this.pass(sender.host, to);
-    if (!arrived) return NEVER;
+    const isDelivered = await this.deliver(sender.host, to);
+    if (!isDelivered) return NO_ANSWER;
     const handler = this.handlers.get(to);
-    if (handler === undefined) return err({ type: 'unreachable', message: `${to} is not there` });
+    if (handler === undefined) return err({ type: 'unreachable', message: `${to} is detached` });
     const copy = JSON.parse(JSON.stringify(req)) as PeerRequest;
     const res = await handler.answer(sender, copy);
-    const returned = await this.pass(to, sender.host);
-    return returned ? ok(res) : NEVER;
+    const isAnswered = await this.deliver(to, sender.host);
+    return isAnswered ? ok(res) : NO_ANSWER;
   }
 
-  private async pass(from: HostId, to: HostId): Promise<boolean> {
+  private async deliver(from: HostId, to: HostId): Promise<boolean> {
     await sleep(this.clock, this.settings.latencyMs);
-    const way = directed(from, to);
-    const lost = this.settings.loss > 0 && this.random.next() < this.settings.loss;
-    return !lost && !this.cuts.has(way) && !this.silent.has(way);
+    const key = linkKey(from, to);
+    const isLost = this.settings.loss > 0 && this.random.next() < this.settings.loss;
+    return !isLost && !this.cuts.has(key) && !this.silent.has(key);
   }
 }
