--- a/packages/stand-ins/src/http/serveApp.ts
+++ b/packages/stand-ins/src/http/serveApp.ts
@@ -3,12 +3,12 @@
 import type { HttpBindings } from '@hono/node-server';
 import type { Context, Hono } from 'hono';
 
-/** The environment that the Node server gives each route. */
+/** Environment that the Node server passes to each route. */
 export interface NodeEnv {
   readonly Bindings: HttpBindings;
 }
 
-/** A stand-in that listens on loopback. */
+/** An HTTP server that listens on loopback. */
 export interface RunningApp {
   readonly port: number;
   /** Closes the listener and all connections. */
@@ -19,8 +19,8 @@
  * Serves an application on loopback.
  *
  * @param app - The routes.
- * @param port - 0 takes any free port.
- * @returns The port in use and a function that ends it.
+ * @param port - Port to listen on; 0 takes a free one.
+ * @returns The running server.
  */
 export function serveApp(app: Hono<NodeEnv>, port: number): Promise<RunningApp> {
   return new Promise((resolve) => {
@@ -38,25 +38,25 @@
 }
 
 /**
- * Gets a signal that aborts when the client closes the connection before the answer is whole.
+ * Gets a signal that aborts if the client disconnects before the response is complete.
  *
- * @param c - The request's context.
+ * @param c - Context of the request.
  * @returns The signal.
  */
 export function clientGone(c: Context<NodeEnv>): AbortSignal {
-  const gone = new AbortController();
+  const disconnected = new AbortController();
   const { outgoing } = c.env;
   outgoing.once('close', () => {
-    if (!outgoing.writableFinished) gone.abort();
+    if (!outgoing.writableFinished) disconnected.abort();
   });
-  return gone.signal;
+  return disconnected.signal;
 }
 
 /**
- * Breaks the connection without an answer, as a process that dies does.
+ * Closes the connection without a response, as a crashed process does.
  *
- * @param c - The request's context.
- * @returns A response that never reaches the client.
+ * @param c - Context of the request.
+ * @returns A placeholder response that never reaches the client.
  */
 export function breakConnection(c: Context<NodeEnv>): Response {
   c.env.incoming.socket.destroy();
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -12,7 +12,7 @@
 import { ServiceCore, serviceSettings } from './service/ServiceCore.ts';
 import { serviceRoutes } from './service/serviceRoutes.ts';
 
-/** Fetches a KV cache from another stand-in engine. */
+/** Fetches a KV cache from another stand-in engine; undefined if that fails. */
 async function fetchKv(sourceUrl: string, handle: string): Promise<KvCache | undefined> {
   try {
     const url = `${sourceUrl}/v1/kv/${encodeURIComponent(handle)}`;
@@ -25,7 +25,7 @@
   }
 }
 
-function ready(name: string, port: number): void {
+function printListening(name: string, port: number): void {
   process.stdout.write(`${name} listens on 127.0.0.1:${port}\n`);
 }
 
@@ -36,7 +36,7 @@
   .option('port', { type: 'number', default: 0, describe: 'Port on loopback; 0 takes a free one' })
   .command('platform', 'Runs a stand-in platform', {}, async (args) => {
     const app = await serveApp(storeRoutes(new MemoryObjectStore(clock)), Number(args.port));
-    ready('platform', app.port);
+    printListening('platform', app.port);
   })
   .command(
     'engine',
@@ -56,7 +56,7 @@
       });
       const core = new EngineCore(settings, clock, fetchKv);
       const app = await serveApp(engineRoutes(core), args.port);
-      ready(args.id, app.port);
+      printListening(args.id, app.port);
     },
   )
   .command(
@@ -69,10 +69,10 @@
     async (args) => {
       const core = new ServiceCore(serviceSettings({ id: args.id, delayMs: args.delayMs }), clock);
       const app = await serveApp(serviceRoutes(core), args.port);
-      ready(args.id, app.port);
+      printListening(args.id, app.port);
     },
   )
-  .demandCommand(1, 'Name one stand-in: platform, engine or service')
+  .demandCommand(1, 'Specify a stand-in: platform, engine or service')
   .strict()
   .help()
   .parseAsync();
