--- a/packages/stand-ins/src/demo/DemoCounts.ts
+++ b/packages/stand-ins/src/demo/DemoCounts.ts
@@ -1,56 +1,56 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
-/** How one request of the demo ended. */
+/** Outcome of one request of the demo. */
 export type DemoOutcome =
   | { readonly type: 'whole' }
   | { readonly type: 'refused'; readonly code: string }
   | { readonly type: 'broken'; readonly message: string };
 
-/** What one request of the demo saw. */
+/** Result of one request of the demo, as its caller saw it. */
 export interface DemoAnswer {
   readonly kind: string;
   readonly outcome: DemoOutcome;
-  /** Milliseconds to the first token, or to the answer of a plain service. */
+  /** Time to the first token, or to the answer of a plain service, in milliseconds. */
   readonly firstMs?: number;
-  /** Milliseconds between tokens. */
+  /** Token intervals in milliseconds. */
   readonly gapsMs: readonly number[];
-  /** Ends of an answer that came; more than one is a fault. */
+  /** Number of end markers received; more than one is an error. */
   readonly ends: number;
 }
 
-const MICROS = 1000;
-const COLUMNS = [14, 7, 7, 9, 9, 10, 10];
+const MICROS_PER_MS = 1000;
+const COLUMN_WIDTHS = [14, 7, 7, 9, 9, 10, 10];
 
-function shown(histogram: Histogram, percentile: number): string {
+function formatPercentile(histogram: Histogram, percentile: number): string {
   if (histogram.totalCount === 0) return '-';
-  return (histogram.getValueAtPercentile(percentile) / MICROS).toFixed(1);
+  return (histogram.getValueAtPercentile(percentile) / MICROS_PER_MS).toFixed(1);
 }
 
-function row(cells: readonly string[]): string {
-  return cells.map((cell, index) => cell.padStart(COLUMNS[index] ?? 0)).join(' ');
+function formatRow(cells: readonly string[]): string {
+  return cells.map((cell, index) => cell.padStart(COLUMN_WIDTHS[index] ?? 0)).join(' ');
 }
 
-/** Counts what callers saw and prints it as a table. */
+/** Collects the results of all requests and formats them as a table. */
 export class DemoCounts {
   private readonly answers: DemoAnswer[] = [];
 
-  /** Takes in one answer. */
+  /** Adds the result of a request. */
   add(answer: DemoAnswer): void {
     this.answers.push(answer);
   }
 
-  /** Gets how many requests ended. */
+  /** Gets the number of completed requests. */
   get total(): number {
     return this.answers.length;
   }
 
-  /** Gets how many requests were answered more than once. */
+  /** Gets the number of requests that were answered more than once. */
   get answeredTwice(): number {
     return this.answers.filter((answer) => answer.ends > 1).length;
   }
 
-  /** Gets the refusals by code. */
+  /** Gets the number of refusals by error code. */
   get refusals(): ReadonlyMap<string, number> {
     const codes = this.answers.flatMap(({ outcome }) =>
       outcome.type === 'refused' ? [outcome.code] : [],
@@ -60,7 +60,7 @@
     );
   }
 
-  /** Gets what broke, in words. */
+  /** Gets descriptions of the broken requests. */
   get broken(): readonly string[] {
     return this.answers.flatMap(({ kind, outcome }) =>
       outcome.type === 'broken' ? [`${kind}: ${outcome.message}`] : [],
@@ -72,31 +72,32 @@
     const kinds = [...new Set(this.answers.map((answer) => answer.kind))].sort();
     const refusals = [...this.refusals].map(([code, count]) => `${code} ${count}`).join(', ');
     return [
-      row(['', 'sent', 'whole', 'first p50', 'first p95', 'gap p50', 'gap p95']),
-      ...kinds.map((kind) => this.line(kind)),
+      formatRow(['', 'sent', 'whole', 'first p50', 'first p95', 'gap p50', 'gap p95']),
+      ...kinds.map((kind) => this.formatKind(kind)),
       `times in ms; refused: ${refusals === '' ? '0' : refusals}`,
       `broken: ${this.broken.length}`,
       `answered twice: ${this.answeredTwice}`,
     ];
   }
 
-  private line(kind: string): string {
-    const mine = this.answers.filter((answer) => answer.kind === kind);
-    const firsts = build();
-    const gaps = build();
-    mine.forEach((answer) => {
-      if (answer.firstMs !== undefined) firsts.recordValue(Math.round(answer.firstMs * MICROS));
-      answer.gapsMs.forEach((gap) => gaps.recordValue(Math.round(gap * MICROS)));
+  private formatKind(kind: string): string {
+    const results = this.answers.filter((answer) => answer.kind === kind);
+    const firstTokenTimes = build();
+    const intervals = build();
+    results.forEach((answer) => {
+      if (answer.firstMs !== undefined)
+        firstTokenTimes.recordValue(Math.round(answer.firstMs * MICROS_PER_MS));
+      answer.gapsMs.forEach((gap) => intervals.recordValue(Math.round(gap * MICROS_PER_MS)));
     });
-    const whole = mine.filter((answer) => answer.outcome.type === 'whole').length;
-    return row([
+    const whole = results.filter((answer) => answer.outcome.type === 'whole').length;
+    return formatRow([
       kind,
-      String(mine.length),
+      String(results.length),
       String(whole),
-      shown(firsts, 50),
-      shown(firsts, 95),
-      shown(gaps, 50),
-      shown(gaps, 95),
+      formatPercentile(firstTokenTimes, 50),
+      formatPercentile(firstTokenTimes, 95),
+      formatPercentile(intervals, 50),
+      formatPercentile(intervals, 95),
     ]);
   }
 }
--- a/packages/stand-ins/src/demo/DemoFleet.ts
+++ b/packages/stand-ins/src/demo/DemoFleet.ts
@@ -8,22 +8,22 @@
 import { freePort } from './freePort.ts';
 import { hostSettings } from './hostSettings.ts';
 
-const STAND_INS = fileURLToPath(new URL('../main.ts', import.meta.url));
-const ROUTER = fileURLToPath(new URL('../../../router/src/main.ts', import.meta.url));
+const STAND_INS_MAIN = fileURLToPath(new URL('../main.ts', import.meta.url));
+const ROUTER_MAIN = fileURLToPath(new URL('../../../router/src/main.ts', import.meta.url));
 const ZONES = ['zone-1', 'zone-2', 'zone-3'];
 const CREDENTIAL_BYTES = 24;
 
-/** Where everything of the demo listens. */
+/** Addresses of the processes of the demo. */
 export interface DemoAddresses {
   readonly platform: string;
   readonly prefill: readonly string[];
   readonly decode: readonly string[];
   readonly certificates: string;
-  /** `ip:port` of each host for callers. */
+  /** `ip:port` of the caller API of each host. */
   readonly hosts: readonly string[];
 }
 
-/** All processes of the demo: stand-ins and hosts, each on its own loopback port. */
+/** The processes of the demo: stand-ins and hosts, each on its own loopback ports. */
 export class DemoFleet {
   private readonly processes: DemoProcess[] = [];
 
@@ -36,18 +36,20 @@
   /** Starts the stand-ins and the hosts. */
   async start(): Promise<DemoAddresses> {
     const url = (port: number): string => `http://127.0.0.1:${port}`;
-    const engine = (id: string, role: string): Promise<number> =>
-      this.standIn(id, ['engine', '--id', id, '--role', role]);
+    const startEngine = (id: string, role: string): Promise<number> =>
+      this.startStandIn(id, ['engine', '--id', id, '--role', role]);
     const [platform, certificates, ...engines] = await Promise.all([
-      this.standIn('platform', ['platform']),
-      this.standIn('certificates-1', ['service', '--id', 'certificates-1']),
-      engine('p1', 'prefill'),
-      engine('p2', 'prefill'),
-      engine('d1', 'decode'),
-      engine('d2', 'decode'),
+      this.startStandIn('platform', ['platform']),
+      this.startStandIn('certificates-1', ['service', '--id', 'certificates-1']),
+      startEngine('p1', 'prefill'),
+      startEngine('p2', 'prefill'),
+      startEngine('d1', 'decode'),
+      startEngine('d2', 'decode'),
     ]);
     const urls = engines.map(url);
-    const hosts = await Promise.all(ZONES.map((zone, i) => this.host(`h${i + 1}`, zone, platform)));
+    const hosts = await Promise.all(
+      ZONES.map((zone, i) => this.startHost(`h${i + 1}`, zone, platform)),
+    );
     return {
       platform: url(platform),
       prefill: urls.slice(0, 2),
@@ -57,22 +59,22 @@
     };
   }
 
-  /** Gets the processes that have ended though nobody ended them. */
+  /** Gets the processes that have exited; before {@link stop} these are unexpected exits. */
   deadProcesses(): readonly DemoProcess[] {
-    return this.processes.filter((one) => one.hasEnded);
+    return this.processes.filter((proc) => proc.hasEnded);
   }
 
-  /** Ends all processes, hosts first so that they can leave. */
+  /** Stops all processes; signals hosts first, so that they can withdraw from the platform. */
   async stop(): Promise<void> {
-    await Promise.all([...this.processes].reverse().map((one) => one.stop()));
+    await Promise.all([...this.processes].reverse().map((proc) => proc.stop()));
     rmSync(this.dir, { recursive: true, force: true });
   }
 
-  private standIn(name: string, args: readonly string[]): Promise<number> {
-    return this.launch(name, [STAND_INS, ...args]);
+  private startStandIn(name: string, args: readonly string[]): Promise<number> {
+    return this.launch(name, [STAND_INS_MAIN, ...args]);
   }
 
-  private async host(id: string, zone: string, platformPort: number): Promise<string> {
+  private async startHost(id: string, zone: string, platformPort: number): Promise<string> {
     const [callers, peers, operators] = await Promise.all([freePort(), freePort(), freePort()]);
     const file = path.join(this.dir, `${id}.toml`);
     const { credential } = this;
@@ -80,7 +82,7 @@
       file,
       hostSettings({ id, zone, callers, peers, operators, platformPort, credential }),
     );
-    await this.launch(id, [ROUTER, 'serve', '--settings', file]);
+    await this.launch(id, [ROUTER_MAIN, 'serve', '--settings', file]);
     return `127.0.0.1:${callers}`;
   }
 
--- a/packages/stand-ins/src/demo/DemoProcess.ts
+++ b/packages/stand-ins/src/demo/DemoProcess.ts
@@ -2,11 +2,11 @@
 import type { ChildProcess } from 'node:child_process';
 import type { Clock, Millis } from '@camphorvane/core';
 
-const READY_LIMIT_MS: Millis = 30_000;
-const STOP_LIMIT_MS: Millis = 5000;
-const KEPT_OUTPUT = 2000;
+const READY_TIMEOUT_MS: Millis = 30_000;
+const STOP_TIMEOUT_MS: Millis = 5000;
+const MAX_OUTPUT_CHARS = 2000;
 
-/** A process that the demo started, and ends. */
+/** A child process of the demo. */
 export class DemoProcess {
   private output = '';
 
@@ -21,19 +21,19 @@
       child.once('exit', () => resolve());
       child.once('error', () => resolve());
     });
-    const keep = (chunk: Buffer): void => {
-      this.output = (this.output + chunk.toString('utf8')).slice(-KEPT_OUTPUT);
+    const appendOutput = (chunk: Buffer): void => {
+      this.output = (this.output + chunk.toString('utf8')).slice(-MAX_OUTPUT_CHARS);
     };
-    child.stdout?.on('data', keep);
-    child.stderr?.on('data', keep);
+    child.stdout?.on('data', appendOutput);
+    child.stderr?.on('data', appendOutput);
   }
 
   /**
-   * Starts a TypeScript program in a process of its own.
+   * Starts a TypeScript program in a child process.
    *
-   * @param name - Names it in messages.
+   * @param name - Name of the process in messages.
    * @param args - Path of the program and its arguments.
-   * @param clock - Judges how long it takes.
+   * @param clock - Clock for the timeouts.
    * @returns The process.
    */
   static start(name: string, args: readonly string[], clock: Clock): DemoProcess {
@@ -43,25 +43,25 @@
     return new DemoProcess(name, child, clock);
   }
 
-  /** Gets the last of what the process printed. */
+  /** Gets the tail of the output of the process. */
   get lastOutput(): string {
     return this.output;
   }
 
-  /** Tells whether the process has ended. */
+  /** Tells whether the process has exited. */
   get hasEnded(): boolean {
     return this.child.exitCode !== null || this.child.signalCode !== null;
   }
 
   /**
-   * Waits until the process says on which port it listens.
+   * Waits until the process prints the port that it listens on.
    *
-   * @returns The port, or undefined where it ended or took too long.
+   * @returns The port, or undefined if the process exited or the wait timed out.
    */
   async port(): Promise<number | undefined> {
-    const until = this.clock.now() + READY_LIMIT_MS;
+    const deadline = this.clock.now() + READY_TIMEOUT_MS;
     let found = this.printedPort();
-    while (found === undefined && !this.hasEnded && this.clock.now() < until) {
+    while (found === undefined && !this.hasEnded && this.clock.now() < deadline) {
       await new Promise<void>((resolve) => {
         this.clock.after(50, resolve);
       });
@@ -70,13 +70,13 @@
     return found;
   }
 
-  /** Ends the process: politely first, then at once. */
+  /** Stops the process with SIGTERM, and with SIGKILL if it has not exited after the timeout. */
   async stop(): Promise<void> {
     if (this.hasEnded) return;
     this.child.kill('SIGTERM');
-    const cancel = this.clock.after(STOP_LIMIT_MS, () => this.child.kill('SIGKILL'));
+    const cancelKill = this.clock.after(STOP_TIMEOUT_MS, () => this.child.kill('SIGKILL'));
     await this.exited;
-    cancel();
+    cancelKill();
   }
 
   private printedPort(): number | undefined {
--- a/packages/stand-ins/src/demo/demoCalls.ts
+++ b/packages/stand-ins/src/demo/demoCalls.ts
@@ -5,14 +5,14 @@
 import type { ServiceAnswerBody } from '../service/ServiceCore.ts';
 import type { DemoAnswer, DemoOutcome } from './DemoCounts.ts';
 
-/** Where and as whom a call is made. */
+/** Host and API key of a call. */
 export interface DemoTarget {
   /** `ip:port` of a host. */
   readonly host: string;
   readonly key: string;
 }
 
-/** A completion of the demo. */
+/** A completion request of the demo. */
 export interface DemoCompletion {
   readonly kind: string;
   readonly prompt: string;
@@ -25,40 +25,40 @@
   readonly error?: { readonly code?: string };
 }
 
-const refused = (text: string): DemoOutcome => {
+const refusalOf = (text: string): DemoOutcome => {
   const { error } = JSON.parse(text) as Chunk;
   return { type: 'refused', code: error?.code ?? 'no code' };
 };
 
-const headersOf = (target: DemoTarget): Record<string, string> => ({
+const requestHeaders = (target: DemoTarget): Record<string, string> => ({
   authorization: `Bearer ${target.key}`,
   'content-type': 'application/json',
 });
 
-/** Reads the data of server-sent events. */
-async function* eventsOf(body: AsyncIterable<Uint8Array>): AsyncIterable<string> {
+/** Parses the data of server-sent events. */
+async function* parseEvents(body: AsyncIterable<Uint8Array>): AsyncIterable<string> {
   const decoder = new TextDecoder();
-  let rest = '';
+  let buffered = '';
   for await (const bytes of body) {
-    rest += decoder.decode(bytes, { stream: true });
-    const blocks = rest.split('\n\n');
-    rest = blocks.pop() ?? '';
-    yield* blocks.filter((one) => one.startsWith('data: ')).map((one) => one.slice(6));
+    buffered += decoder.decode(bytes, { stream: true });
+    const blocks = buffered.split('\n\n');
+    buffered = blocks.pop() ?? '';
+    yield* blocks.filter((block) => block.startsWith('data: ')).map((block) => block.slice(6));
   }
 }
 
 /**
- * Sends a streamed completion and checks that its answer is whole and its own.
+ * Sends a streamed completion and checks that the answer is complete and belongs to the request.
  *
- * @param clock - Times the tokens.
- * @param target - Where and as whom.
- * @param work - What is asked.
- * @returns What the caller saw.
+ * @param clock - Clock that times the tokens.
+ * @param target - Host and API key.
+ * @param completion - The request.
+ * @returns The result.
  */
 export async function complete(
   clock: Clock,
   target: DemoTarget,
-  work: DemoCompletion,
+  completion: DemoCompletion,
 ): Promise<DemoAnswer> {
   const started = clock.now();
   const times: number[] = [];
@@ -67,23 +67,23 @@
   let failure: DemoOutcome | undefined;
   const res = await request(`http://${target.host}/v1/completions`, {
     method: 'POST',
-    headers: { ...headersOf(target), 'x-camphorvane-class': work.class },
+    headers: { ...requestHeaders(target), 'x-camphorvane-class': completion.class },
     body: JSON.stringify({
       model: 'reports',
-      prompt: work.prompt,
-      max_tokens: work.maxTokens,
+      prompt: completion.prompt,
+      max_tokens: completion.maxTokens,
       stream: true,
     }),
   });
   if (res.statusCode !== 200) {
-    const outcome = refused(await res.body.text());
-    return { kind: work.kind, outcome, gapsMs: [], ends: 0 };
+    const outcome = refusalOf(await res.body.text());
+    return { kind: completion.kind, outcome, gapsMs: [], ends: 0 };
   }
-  for await (const data of eventsOf(res.body)) {
+  for await (const data of parseEvents(res.body)) {
     if (data === '[DONE]') ends += 1;
     else {
       const chunk = JSON.parse(data) as Chunk;
-      if (chunk.error !== undefined) failure = refused(data);
+      if (chunk.error !== undefined) failure = refusalOf(data);
       const text = chunk.choices?.[0]?.text ?? '';
       if (text !== '') {
         times.push(clock.now());
@@ -91,12 +91,12 @@
       }
     }
   }
-  const isWhole = texts.join('') === answerText(work.prompt, work.maxTokens);
+  const isWhole = texts.join('') === answerText(completion.prompt, completion.maxTokens);
   const whole: DemoOutcome = isWhole
     ? { type: 'whole' }
-    : { type: 'broken', message: `${texts.length} tokens that are not the whole answer` };
+    : { type: 'broken', message: `incomplete or wrong answer of ${texts.length} tokens` };
   return {
-    kind: work.kind,
+    kind: completion.kind,
     outcome: failure ?? whole,
     firstMs: times[0] === undefined ? undefined : times[0] - started,
     gapsMs: times.slice(1).map((time, index) => time - (times[index] ?? time)),
@@ -105,13 +105,13 @@
 }
 
 /**
- * Calls the certificate service and checks that the answer is to this call.
+ * Calls the certificate service and checks that the answer belongs to the call.
  *
- * @param clock - Times the answer.
- * @param target - Where and as whom.
- * @param id - Names the batch; also the Idempotency-Key of an issue.
- * @param kind - An issue, which must not run twice, or a lookup.
- * @returns What the caller saw.
+ * @param clock - Clock that times the answer.
+ * @param target - Host and API key.
+ * @param id - ID of the batch; also the Idempotency-Key of an issue.
+ * @param kind - Issue, which must not be executed twice, or lookup.
+ * @returns The result.
  */
 export async function callCertificates(
   clock: Clock,
@@ -125,16 +125,16 @@
   const path = isIssue ? '/issue' : `/lookup/${id}`;
   const res = await request(`http://${target.host}/services/certificates${path}`, {
     method: isIssue ? 'POST' : 'GET',
-    headers: { ...headersOf(target), ...(isIssue ? { 'idempotency-key': id } : {}) },
+    headers: { ...requestHeaders(target), ...(isIssue ? { 'idempotency-key': id } : {}) },
     body: isIssue ? body : undefined,
   });
   const text = await res.body.text();
-  const name = isIssue ? 'certificate' : 'yard lookup';
-  if (res.statusCode !== 200) return { kind: name, outcome: refused(text), gapsMs: [], ends: 0 };
+  const label = isIssue ? 'certificate' : 'yard lookup';
+  if (res.statusCode !== 200) return { kind: label, outcome: refusalOf(text), gapsMs: [], ends: 0 };
   const answer = JSON.parse(text) as ServiceAnswerBody;
   const isOwn = answer.path === path && answer.bodyDigest === sha256Hex(isIssue ? body : '');
   const outcome: DemoOutcome = isOwn
     ? { type: 'whole' }
-    : { type: 'broken', message: 'the answer is to another call' };
-  return { kind: name, outcome, firstMs: clock.now() - started, gapsMs: [], ends: 1 };
+    : { type: 'broken', message: 'the answer belongs to another call' };
+  return { kind: label, outcome, firstMs: clock.now() - started, gapsMs: [], ends: 1 };
 }
--- a/packages/stand-ins/src/demo/demoLoad.ts
+++ b/packages/stand-ins/src/demo/demoLoad.ts
@@ -4,41 +4,41 @@
 import type { DemoTarget } from './demoCalls.ts';
 import type { DemoAnswer, DemoCounts } from './DemoCounts.ts';
 
-/** What the load runs on. */
+/** Dependencies of the load generator. */
 export interface DemoLoad {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly counts: DemoCounts;
-  /** Chooses a host and a team for each request. */
+  /** Picks a host and a team for each request. */
   readonly target: () => DemoTarget;
-  /** Ends the load early. */
+  /** Stops the load early. */
   readonly stopped: AbortSignal;
 }
 
-type Send = (id: string) => Promise<DemoAnswer>;
+type SendRequest = (id: string) => Promise<DemoAnswer>;
 
-interface Stream {
+interface RequestStream {
   readonly name: string;
   readonly perSecond: number;
-  readonly send: Send;
+  readonly send: SendRequest;
 }
 
 const SECOND_MS = 1000;
-const WORDS = 'batch report on primer adhesion cure time gloss film thickness and solvent ';
+const FILLER = 'batch report on primer adhesion cure time gloss film thickness and solvent ';
 
-function prompt(id: string, tokens: number, output: number): string {
+function buildPrompt(id: string, tokens: number, output: number): string {
   const head = `${id} #tokens=${output} `;
-  const rest = Math.max(0, tokens * 4 - head.length);
-  return head + WORDS.repeat(Math.ceil(rest / WORDS.length)).slice(0, rest);
+  const chars = Math.max(0, tokens * 4 - head.length);
+  return head + FILLER.repeat(Math.ceil(chars / FILLER.length)).slice(0, chars);
 }
 
-function streamsOf({ clock, target }: DemoLoad): readonly Stream[] {
-  const completion = (kind: string, tokens: number, maxTokens: number): Send => {
+function streamsOf({ clock, target }: DemoLoad): readonly RequestStream[] {
+  const completion = (kind: string, tokens: number, maxTokens: number): SendRequest => {
     const cls = kind === 'summary' ? 'summary' : 'lookup';
     return (id) =>
       complete(clock, target(), {
         kind,
-        prompt: prompt(id, tokens, maxTokens),
+        prompt: buildPrompt(id, tokens, maxTokens),
         maxTokens,
         class: cls,
       });
@@ -55,31 +55,31 @@
   ];
 }
 
-async function runStream(load: DemoLoad, stream: Stream, forMs: Millis): Promise<void> {
+async function runStream(load: DemoLoad, stream: RequestStream, forMs: Millis): Promise<void> {
   const { clock, random, counts, stopped } = load;
-  const until = clock.now() + forMs;
-  const open: Promise<void>[] = [];
+  const deadline = clock.now() + forMs;
+  const inFlight: Promise<void>[] = [];
   let sent = 0;
-  while (clock.now() < until && !stopped.aborted) {
+  while (clock.now() < deadline && !stopped.aborted) {
     sent += 1;
-    const send = stream
+    const sending = stream
       .send(`${stream.name}-${sent}`)
       .catch((error: unknown): DemoAnswer => {
         const message = error instanceof Error ? error.message : 'failed';
         return { kind: stream.name, outcome: { type: 'broken', message }, gapsMs: [], ends: 0 };
       })
       .then((answer) => counts.add(answer));
-    open.push(send);
+    inFlight.push(sending);
     await sleep(clock, random.exponential(SECOND_MS / stream.perSecond), stopped);
   }
-  await Promise.all(open);
+  await Promise.all(inFlight);
 }
 
 /**
- * Sends a mixed load and waits until all of it has ended.
+ * Sends a mixed load and waits until all requests have completed.
  *
- * @param load - What it runs on.
- * @param forMs - How long new requests are sent.
+ * @param load - Dependencies of the load generator.
+ * @param forMs - Duration for which new requests are sent.
  */
 export async function runLoad(load: DemoLoad, forMs: Millis): Promise<void> {
   await Promise.all(streamsOf(load).map((stream) => runStream(load, stream, forMs)));
--- a/packages/stand-ins/src/demo/demoSetup.ts
+++ b/packages/stand-ins/src/demo/demoSetup.ts
@@ -9,20 +9,20 @@
 import type { DemoAddresses } from './DemoFleet.ts';
 
 const KEY_BYTES = 24;
-const READY_LIMIT_MS = 60_000;
-const POLL_MS = 250;
+const READY_TIMEOUT_MS = 60_000;
+const POLL_INTERVAL_MS = 250;
 
-/** Hosts that were just started take a few seconds to agree on who coordinates what. */
+/** Wait for newly started hosts, which need a few seconds to agree on their coordinators. */
 const SETTLE_MS = 6_000;
 
-/** About as long as a lookup, since hosts take the speed of engines from what these run. */
+/** As long as the prompt of a lookup, because hosts estimate engine speeds from observed work. */
 const READY_PROMPT = 'is everything ready? '.repeat(30);
 
 /**
- * Makes a team with a new key.
+ * Creates a team with a new random API key.
  *
- * @param id - Its name.
- * @param tokensPerSecond - Its rate; the burst is five seconds of it.
+ * @param id - ID of the team.
+ * @param tokensPerSecond - Its rate; the burst is 5 seconds of the rate.
  * @returns The team.
  */
 export function demoTeam(id: string, tokensPerSecond: number): DemoTeam {
@@ -31,13 +31,13 @@
 }
 
 /**
- * Applies the declarations as an operator does, and waits until every host serves.
+ * Applies the declarations as an operator does, and waits until every host serves requests.
  *
- * @param clock - Times the waits.
- * @param at - Where everything listens.
+ * @param clock - Clock for the waits.
+ * @param at - Addresses of all processes.
  * @param teams - At least one team.
- * @param signal - Ends the waits.
- * @returns The version of the configuration in force.
+ * @param signal - Ends the waits early.
+ * @returns Version of the configuration in force.
  */
 export async function setUp(
   clock: Clock,
@@ -57,27 +57,32 @@
   return applied.value.version;
 }
 
-/** Waits until every host answers lookups of both kinds, so that start-up is not measured. */
+/** Waits until every host answers a call and a completion, so that start-up is not measured. */
 async function waitUntilReady(
   clock: Clock,
   at: DemoAddresses,
   { key }: DemoTeam,
   signal: AbortSignal,
 ): Promise<void> {
-  const until = clock.now() + READY_LIMIT_MS;
+  const deadline = clock.now() + READY_TIMEOUT_MS;
   const isReady = async (host: string): Promise<boolean> => {
     const target = { host, key };
-    const work = { kind: 'ready', prompt: READY_PROMPT, maxTokens: 2, class: 'lookup' as const };
+    const completion = {
+      kind: 'ready',
+      prompt: READY_PROMPT,
+      maxTokens: 2,
+      class: 'lookup' as const,
+    };
     const answers = await Promise.all([
       callCertificates(clock, target, 'ready', 'lookup'),
-      complete(clock, target, work),
+      complete(clock, target, completion),
     ]);
     return answers.every((answer) => answer.outcome.type === 'whole');
   };
   let ready = false;
-  while (!ready && clock.now() < until && !signal.aborted) {
+  while (!ready && clock.now() < deadline && !signal.aborted) {
     ready = (await Promise.all(at.hosts.map(isReady))).every(Boolean);
-    if (!ready) await sleep(clock, POLL_MS, signal);
+    if (!ready) await sleep(clock, POLL_INTERVAL_MS, signal);
   }
-  if (!ready && !signal.aborted) throw new Error('the hosts did not get ready');
+  if (!ready && !signal.aborted) throw new Error('timed out waiting for the hosts to become ready');
 }
--- a/packages/stand-ins/src/demo/freePort.ts
+++ b/packages/stand-ins/src/demo/freePort.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:net';
 
-/** Gets a port on loopback that is free at the moment. */
+/** Finds a free port on loopback; another process may take it before it is used. */
 export function freePort(): Promise<number> {
   return new Promise((resolve, reject) => {
     const server = createServer();
--- a/packages/stand-ins/src/demo/hostSettings.ts
+++ b/packages/stand-ins/src/demo/hostSettings.ts
@@ -1,4 +1,4 @@
-/** What differs between the hosts of the demo. */
+/** Settings of one host of the demo; `callers`, `peers` and `operators` are ports. */
 export interface DemoHost {
   readonly id: string;
   readonly zone: string;
@@ -10,10 +10,10 @@
 }
 
 /**
- * Gets the settings file of one host.
+ * Builds the settings file of one host.
  *
- * @param host - Its name, zone, ports and credential.
- * @returns TOML.
+ * @param host - ID, zone, ports and credential of the host.
+ * @returns Settings as TOML.
  */
 export function hostSettings(host: DemoHost): string {
   return `[host]
--- a/packages/stand-ins/src/demo/main.ts
+++ b/packages/stand-ins/src/demo/main.ts
@@ -16,12 +16,12 @@
 const clock = new SystemClock();
 const stopped = new AbortController();
 
-const print = (line: string): void => {
+const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-/** Counts certificates that were issued more than once, as the service itself has noted. */
-async function issuedTwice(at: DemoAddresses): Promise<number> {
+/** Counts repeated issues of certificates in the execution records of the service. */
+async function countRepeatedIssues(at: DemoAddresses): Promise<number> {
   const res = await request(`${at.certificates}/test/records`);
   const records = (await res.body.json()) as readonly ExecutionRecord[];
   const issues = records.filter((record) => record.text.startsWith('POST'));
@@ -31,12 +31,12 @@
 function printCurl(at: DemoAddresses, { key }: DemoTeam): void {
   const [host] = at.hosts;
   const auth = `-H 'authorization: Bearer ${key}' -H 'content-type: application/json'`;
-  print('\nTry, and end with ctrl-C:');
-  print(`  curl -s http://${host}/v1/hosts ${auth}`);
-  print(
+  printLine('\nTry, and end with ctrl-C:');
+  printLine(`  curl -s http://${host}/v1/hosts ${auth}`);
+  printLine(
     `  curl -sN http://${host}/v1/completions ${auth} -d '{"model":"reports","prompt":"hello","max_tokens":20,"stream":true}'`,
   );
-  print(
+  printLine(
     `  curl -s http://${host}/services/certificates/issue ${auth} -H 'idempotency-key: batch-1' -d '{"batch":1}'`,
   );
 }
@@ -46,8 +46,8 @@
   const first = demoTeam('labs', TOKENS_PER_SECOND);
   const second = demoTeam('ports', TOKENS_PER_SECOND);
   const version = await setUp(clock, at, [first, second], stopped.signal);
-  print(`configuration in force as version ${version}; all hosts serve`);
-  print(`3 hosts, 2 prefill and 2 decode engines, 1 certificate service: load for ${forMs} ms`);
+  printLine(`configuration in force as version ${version}; all hosts serve`);
+  printLine(`3 hosts, 2 prefill and 2 decode engines, 1 certificate service: load for ${forMs} ms`);
   const random = new RandomSource(seed);
   const counts = new DemoCounts();
   const target = () => ({
@@ -55,38 +55,50 @@
     key: (random.int(0, 1) === 0 ? first : second).key,
   });
   await runLoad({ clock, random, counts, target, stopped: stopped.signal }, forMs);
-  const twice = await issuedTwice(at);
-  counts.lines().forEach(print);
-  print(`certificates issued twice: ${twice}`);
-  counts.broken.forEach((line) => print(`  ${line}`));
+  const repeatedIssues = await countRepeatedIssues(at);
+  counts.lines().forEach(printLine);
+  printLine(`certificates issued twice: ${repeatedIssues}`);
+  counts.broken.forEach((line) => printLine(`  ${line}`));
   const dead = fleet.deadProcesses();
-  dead.forEach((one) => print(`${one.name} ended by itself: ${one.lastOutput}`));
+  dead.forEach((proc) => printLine(`${proc.name} exited unexpectedly: ${proc.lastOutput}`));
   if (stay && !stopped.signal.aborted) {
     printCurl(at, first);
     await new Promise<void>((resolve) => {
       stopped.signal.addEventListener('abort', () => resolve(), { once: true });
     });
   }
-  const isSound = counts.broken.length === 0 && counts.answeredTwice === 0 && twice === 0;
-  return isSound && counts.total > 0 && counts.refusals.size === 0 && dead.length === 0;
+  const isPassed = counts.broken.length === 0 && counts.answeredTwice === 0 && repeatedIssues === 0;
+  return isPassed && counts.total > 0 && counts.refusals.size === 0 && dead.length === 0;
 }
 
 const args = await yargs(hideBin(process.argv))
   .scriptName('demo')
-  .option('seconds', { type: 'number', default: 20, describe: 'How long requests are sent' })
-  .option('seed', { type: 'number', default: 7, describe: 'Decides when what is sent' })
-  .option('stay', { type: 'boolean', default: false, describe: 'Keeps everything up until ctrl-C' })
+  .option('seconds', {
+    type: 'number',
+    default: 20,
+    describe: 'Duration in seconds for which requests are sent',
+  })
+  .option('seed', {
+    type: 'number',
+    default: 7,
+    describe: 'Seed for request times, hosts and teams',
+  })
+  .option('stay', {
+    type: 'boolean',
+    default: false,
+    describe: 'Keeps all processes running until ctrl-C',
+  })
   .strict()
   .help()
   .parseAsync();
 
-const end = (): void => stopped.abort();
-process.once('SIGINT', end);
-process.once('SIGTERM', end);
+const abort = (): void => stopped.abort();
+process.once('SIGINT', abort);
+process.once('SIGTERM', abort);
 const fleet = new DemoFleet(clock);
 try {
-  const isSound = await run(fleet, args.seconds * SECOND_MS, args.seed, args.stay);
-  process.exitCode = isSound ? 0 : 1;
+  const isPassed = await run(fleet, args.seconds * SECOND_MS, args.seed, args.stay);
+  process.exitCode = isPassed ? 0 : 1;
 } catch (error) {
   process.stderr.write(`${error instanceof Error ? error.message : 'failed'}\n`);
   process.exitCode = 1;
