--- a/packages/stand-ins/src/overhead/main.ts
+++ b/packages/stand-ins/src/overhead/main.ts
@@ -9,77 +9,95 @@
 import type { DemoAddresses } from '../demo/DemoFleet.ts';
 import { DemoFleet } from '../demo/DemoFleet.ts';
 
-const MICROS = 1_000;
-const TOKENS = 40;
+const MICROS_PER_MS = 1_000;
+const OUTPUT_TOKENS = 40;
 const PROMPT = 'which solvent for this batch? '.repeat(30);
-const TOKENS_PER_SECOND = 200_000;
+const TEAM_TOKENS_PER_SECOND = 200_000;
 const PRIORITY = 0;
 
 const clock = new SystemClock();
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-/** What one way of asking took. */
-interface Times {
-  readonly first: Histogram;
-  readonly gaps: Histogram;
+/** Time to firstToken token and token intervals of one path, in microseconds. */
+interface LatencyHistograms {
+  readonly firstToken: Histogram;
+  readonly intervals: Histogram;
 }
 
-const newTimes = (): Times => ({ first: build(), gaps: build() });
+const newHistograms = (): LatencyHistograms => ({ firstToken: build(), intervals: build() });
 
-/** Asks the engines themselves: prefill, transfer, decode, one after the other. */
-async function askDirectly(at: DemoAddresses, id: string, times: Times): Promise<void> {
+/** Sends a request directly to the engines: prefill, transfer, then decode. */
+async function requestDirectly(
+  at: DemoAddresses,
+  id: string,
+  latencies: LatencyHistograms,
+): Promise<void> {
   const [prefillUrl = ''] = at.prefill;
   const [decodeUrl = ''] = at.decode;
   const prefillEngine = new HttpModelEngine('p1', prefillUrl, clock);
   const decodeEngine = new HttpModelEngine('d1', decodeUrl, clock);
   const started = clock.now();
   const cmd = { attempt: id, model: 'reports', continuation: '', priority: PRIORITY };
-  const prefill = await prefillEngine.prefill({ ...cmd, prompt: `${id} ${PROMPT}` }, never);
+  const prefill = await prefillEngine.prefill({ ...cmd, prompt: `${id} ${PROMPT}` }, neverAborted);
   if (prefill.isErr()) throw new Error(prefill.error.message);
   const { kvHandle } = prefill.value;
-  const moved = await decodeEngine.transfer(
+  const transferred = await decodeEngine.transfer(
     { attempt: id, kvHandle, sourceUrl: prefillUrl, pieces: 1 },
-    never,
+    neverAborted,
   );
-  if (moved.isErr()) throw new Error(moved.error.message);
-  const decode = { attempt: id, kvHandle, maxTokens: TOKENS, fromPosition: 0, priority: PRIORITY };
-  let last: number | undefined;
-  for await (const event of decodeEngine.decode(decode, never)) {
+  if (transferred.isErr()) throw new Error(transferred.error.message);
+  const decode = {
+    attempt: id,
+    kvHandle,
+    maxTokens: OUTPUT_TOKENS,
+    fromPosition: 0,
+    priority: PRIORITY,
+  };
+  let lastAt: number | undefined;
+  for await (const event of decodeEngine.decode(decode, neverAborted)) {
     if (event.isErr()) throw new Error(event.error.message);
     const now = clock.now();
     if (event.value.type === 'token') {
-      if (last === undefined) times.first.recordValue((now - started) * MICROS);
-      else times.gaps.recordValue((now - last) * MICROS);
-      last = now;
+      if (lastAt === undefined) latencies.firstToken.recordValue((now - started) * MICROS_PER_MS);
+      else latencies.intervals.recordValue((now - lastAt) * MICROS_PER_MS);
+      lastAt = now;
     }
   }
   await Promise.all([prefillEngine.close(), decodeEngine.close()]);
 }
 
-async function askHost(host: string, key: string, id: string, times: Times): Promise<void> {
-  const work = {
+/** Sends a request through a host. */
+async function requestThroughHost(
+  host: string,
+  key: string,
+  id: string,
+  latencies: LatencyHistograms,
+): Promise<void> {
+  const completion = {
     kind: 'overhead',
     prompt: `${id} ${PROMPT}`,
-    maxTokens: TOKENS,
+    maxTokens: OUTPUT_TOKENS,
     class: 'lookup' as const,
   };
-  const answer = await complete(clock, { host, key }, work);
+  const answer = await complete(clock, { host, key }, completion);
   if (answer.outcome.type !== 'whole') throw new Error(JSON.stringify(answer.outcome));
-  times.first.recordValue((answer.firstMs ?? 0) * MICROS);
-  answer.gapsMs.forEach((gap) => times.gaps.recordValue(gap * MICROS));
+  latencies.firstToken.recordValue((answer.firstMs ?? 0) * MICROS_PER_MS);
+  answer.gapsMs.forEach((gap) => latencies.intervals.recordValue(gap * MICROS_PER_MS));
 }
 
-function row(name: string, { first, gaps }: Times): string {
-  const cells = [first, gaps].flatMap((histogram) =>
-    [50, 99].map((p) => (histogram.getValueAtPercentile(p) / MICROS).toFixed(1)),
+function formatRow(name: string, { firstToken, intervals }: LatencyHistograms): string {
+  const cells = [firstToken, intervals].flatMap((histogram) =>
+    [50, 99].map((p) => (histogram.getValueAtPercentile(p) / MICROS_PER_MS).toFixed(1)),
   );
   return [name.padEnd(14), ...cells.map((cell) => cell.padStart(11))].join('');
 }
 
 const args = await yargs(hideBin(process.argv))
   .scriptName('npm run bench:overhead --')
-  .usage('$0 [options]\n\nCompares asking a host with asking the engines, side by side.')
-  .option('requests', { type: 'number', default: 100, describe: 'Requests each way' })
+  .usage(
+    '$0 [options]\n\nCompares latencies of requests through a host and directly to the engines.',
+  )
+  .option('requests', { type: 'number', default: 100, describe: 'Requests on each path' })
   .strict()
   .help()
   .parseAsync();
@@ -87,21 +105,23 @@
 const fleet = new DemoFleet(clock);
 try {
   const at = await fleet.start();
-  const team = demoTeam('labs', TOKENS_PER_SECOND);
-  await setUp(clock, at, [team], never);
+  const team = demoTeam('labs', TEAM_TOKENS_PER_SECOND);
+  await setUp(clock, at, [team], neverAborted);
   const random = new RandomSource(1);
-  const direct = newTimes();
-  const routed = newTimes();
-  let left = args.requests;
-  while (left > 0) {
-    await askDirectly(at, `direct-${left}`, direct);
+  const direct = newHistograms();
+  const routed = newHistograms();
+  let remaining = args.requests;
+  while (remaining > 0) {
+    await requestDirectly(at, `direct-${remaining}`, direct);
     const host = at.hosts[random.int(0, at.hosts.length - 1)] ?? '';
-    await askHost(host, team.key, `routed-${left}`, routed);
-    left -= 1;
+    await requestThroughHost(host, team.key, `routed-${remaining}`, routed);
+    remaining -= 1;
   }
-  const heads = ['first p50', 'first p99', 'gap p50', 'gap p99'].map((head) => head.padStart(11));
-  process.stdout.write(`${['ms'.padEnd(14), ...heads].join('')}\n`);
-  process.stdout.write(`${row('engines', direct)}\n${row('through hosts', routed)}\n`);
+  const headings = ['first p50', 'first p99', 'gap p50', 'gap p99'].map((heading) =>
+    heading.padStart(11),
+  );
+  process.stdout.write(`${['ms'.padEnd(14), ...headings].join('')}\n`);
+  process.stdout.write(`${formatRow('engines', direct)}\n${formatRow('through hosts', routed)}\n`);
 } finally {
   await fleet.stop();
 }
