--- a/packages/stand-ins/tests/EngineCore.test.ts
+++ b/packages/stand-ins/tests/EngineCore.test.ts
@@ -9,13 +9,13 @@
 const SIGNAL = new AbortController().signal;
 const PROMPT = 'compare the blends of two houses';
 
-interface Pair {
+interface EnginePair {
   readonly clock: VirtualClock;
   readonly prefill: EngineCore;
   readonly decode: EngineCore;
 }
 
-function pair(): Pair {
+function startEngines(): EnginePair {
   const clock = new VirtualClock();
   const prefill = new EngineCore(engineSettings({ id: 'p1', role: 'prefill' }), clock, () =>
     Promise.resolve(undefined),
@@ -26,21 +26,25 @@
   return { clock, prefill, decode };
 }
 
-/** Runs a promise while virtual time moves on. */
-async function during<T>(clock: VirtualClock, span: number, work: PromiseLike<T>): Promise<T> {
+/** Advances virtual time and then awaits a promise. */
+async function advanceDuring<T>(
+  clock: VirtualClock,
+  span: number,
+  work: PromiseLike<T>,
+): Promise<T> {
   await clock.advance(span);
   return work;
 }
 
-async function imported({ clock, prefill, decode }: Pair, attempt: string): Promise<string> {
+async function importKv({ clock, prefill, decode }: EnginePair, attempt: string): Promise<string> {
   const cmd = { attempt, model: 'm', prompt: PROMPT, continuation: '', priority: 0 };
-  const { kvHandle } = valueOf(await during(clock, 100, prefill.prefill(cmd, SIGNAL)));
-  const order = { attempt, kvHandle, sourceUrl: 'p1', pieces: 2 };
-  assert.ok((await during(clock, 100, decode.transfer(order, SIGNAL))).isOk());
+  const { kvHandle } = valueOf(await advanceDuring(clock, 100, prefill.prefill(cmd, SIGNAL)));
+  const transferCmd = { attempt, kvHandle, sourceUrl: 'p1', pieces: 2 };
+  assert.ok((await advanceDuring(clock, 100, decode.transfer(transferCmd, SIGNAL))).isOk());
   return kvHandle;
 }
 
-function collect(
+function collectEvents(
   events: AsyncIterable<Result<DecodeEvent, UpstreamError>>,
 ): readonly Result<DecodeEvent, UpstreamError>[] {
   const seen: Result<DecodeEvent, UpstreamError>[] = [];
@@ -55,11 +59,11 @@
     .map((event) => (event.isOk() && event.value.type === 'token' ? event.value.text : ''))
     .join('');
 
-test('a whole answer is a function of the prompt and frees all memory', async () => {
-  const engines = pair();
-  const kvHandle = await imported(engines, 'a1');
+test('a complete answer depends only on the prompt, and frees all memory', async () => {
+  const engines = startEngines();
+  const kvHandle = await importKv(engines, 'a1');
   const cmd = { attempt: 'a1', kvHandle, maxTokens: 20, fromPosition: 0, priority: 0 };
-  const seen = collect(engines.decode.decode(cmd, SIGNAL));
+  const seen = collectEvents(engines.decode.decode(cmd, SIGNAL));
   assert.equal(engines.decode.currentLoad().usedPieces, 2);
   await engines.clock.advance(2000);
   assert.equal(textOf(seen), answerText(PROMPT, 20));
@@ -67,22 +71,23 @@
   assert.deepEqual(engines.prefill.currentLoad().attempts, []);
 });
 
-test('streams of a hot or crowded engine have longer times between tokens', async () => {
-  const engines = pair();
-  const handles = await imported(engines, 'a1');
+test('a reduced capacity increases the token interval', async () => {
+  const engines = startEngines();
+  const handle = await importKv(engines, 'a1');
   engines.decode.setFaults({ capacity: 0.5 });
-  const cmd = { attempt: 'a1', kvHandle: handles, maxTokens: 40, fromPosition: 0, priority: 0 };
-  const seen = collect(engines.decode.decode(cmd, SIGNAL));
+  const cmd = { attempt: 'a1', kvHandle: handle, maxTokens: 40, fromPosition: 0, priority: 0 };
+  const seen = collectEvents(engines.decode.decode(cmd, SIGNAL));
   await engines.clock.advance(130);
   assert.equal(seen.length, 5);
 });
 
-test('a crash breaks streams and frees memory', async () => {
-  // An engine process dies with a stream open: its callers would see the text stop in mid-word.
-  const engines = pair();
-  const kvHandle = await imported(engines, 'a1');
+test('a crash ends streams with an error and frees memory', async () => {
+  // An engine crashes during a decode: without an error, callers would take the truncated text for
+  // the complete answer.
+  const engines = startEngines();
+  const kvHandle = await importKv(engines, 'a1');
   const cmd = { attempt: 'a1', kvHandle, maxTokens: 40, fromPosition: 0, priority: 0 };
-  const seen = collect(engines.decode.decode(cmd, SIGNAL));
+  const seen = collectEvents(engines.decode.decode(cmd, SIGNAL));
   await engines.clock.advance(60);
   engines.decode.crash();
   await engines.clock.advance(10);
@@ -91,60 +96,61 @@
   assert.equal(errorOf(await engines.decode.load()).type, 'unreachable');
 });
 
-test('memory that nobody cancels stays held, and a cancel frees it', async () => {
-  // A host dies between transfer and decode: nobody notices but that the engine fills up.
-  const engines = pair();
-  await imported(engines, 'a1');
+test('memory of an abandoned attempt stays allocated until it is cancelled', async () => {
+  // A host crashes between transfer and decode: without a cancel the KV cache is leaked and the
+  // engine runs out of memory.
+  const engines = startEngines();
+  await importKv(engines, 'a1');
   await engines.clock.advance(60_000);
   assert.deepEqual(engines.decode.currentLoad().attempts, ['a1']);
   await engines.decode.cancel('a1');
   assert.deepEqual(engines.decode.currentLoad().attempts, []);
 });
 
-test('a KV cache that waits too long is gone', async () => {
-  // Decode memory was not there when the prefill ended, so its result is evicted and wasted.
-  const { clock, prefill, decode } = pair();
+test('a KV cache is evicted after its TTL', async () => {
+  // No decode engine has free memory when the prefill ends: its result is evicted and wasted.
+  const { clock, prefill, decode } = startEngines();
   const cmd = { attempt: 'a1', model: 'm', prompt: PROMPT, continuation: '', priority: 0 };
-  const { kvHandle } = valueOf(await during(clock, 100, prefill.prefill(cmd, SIGNAL)));
+  const { kvHandle } = valueOf(await advanceDuring(clock, 100, prefill.prefill(cmd, SIGNAL)));
   await clock.advance(1000);
-  const order = { attempt: 'a1', kvHandle, sourceUrl: 'p1', pieces: 2 };
-  const late = await during(clock, 10, decode.transfer(order, SIGNAL));
+  const transferCmd = { attempt: 'a1', kvHandle, sourceUrl: 'p1', pieces: 2 };
+  const late = await advanceDuring(clock, 10, decode.transfer(transferCmd, SIGNAL));
   assert.equal(errorOf(late).type, 'rejected');
 });
 
 test('a stalled transfer holds memory until it is cancelled', async () => {
-  // The link to the decode engine stops in the middle: the caller waits for a first token.
-  const { clock, prefill, decode } = pair();
+  // The link to the decode engine stalls during a transfer: the caller waits for its first token.
+  const { clock, prefill, decode } = startEngines();
   decode.setFaults({ stalledTransfers: 1 });
   const cmd = { attempt: 'a1', model: 'm', prompt: PROMPT, continuation: '', priority: 0 };
-  const { kvHandle } = valueOf(await during(clock, 100, prefill.prefill(cmd, SIGNAL)));
+  const { kvHandle } = valueOf(await advanceDuring(clock, 100, prefill.prefill(cmd, SIGNAL)));
   const stalled = decode.transfer({ attempt: 'a1', kvHandle, sourceUrl: 'p1', pieces: 2 }, SIGNAL);
   await clock.advance(60_000);
   assert.equal(decode.currentLoad().usedPieces, 2);
   await decode.cancel('a1');
-  assert.equal(errorOf(await during(clock, 1, stalled)).type, 'cancelled');
+  assert.equal(errorOf(await advanceDuring(clock, 1, stalled)).type, 'cancelled');
   assert.equal(decode.currentLoad().usedPieces, 0);
 });
 
-test('a resume at a wrong position shows in the text', async () => {
-  // A stream is resumed one token too early: the caller would read a word twice.
-  const { clock, prefill, decode } = pair();
+test('a resume at a wrong position produces a wrong text', async () => {
+  // A stream is resumed one token too early: the caller would receive a token twice.
+  const { clock, prefill, decode } = startEngines();
   const continuation = answerText(PROMPT, 5);
   const cmd = { attempt: 'a1', model: 'm', prompt: PROMPT, continuation, priority: 0 };
-  const { kvHandle } = valueOf(await during(clock, 100, prefill.prefill(cmd, SIGNAL)));
-  await during(
+  const { kvHandle } = valueOf(await advanceDuring(clock, 100, prefill.prefill(cmd, SIGNAL)));
+  await advanceDuring(
     clock,
     100,
     decode.transfer({ attempt: 'a1', kvHandle, sourceUrl: 'p1', pieces: 2 }, SIGNAL),
   );
-  const wrong = { attempt: 'a1', kvHandle, maxTokens: 12, fromPosition: 4, priority: 0 };
-  const seen = collect(decode.decode(wrong, SIGNAL));
+  const wrongCmd = { attempt: 'a1', kvHandle, maxTokens: 12, fromPosition: 4, priority: 0 };
+  const seen = collectEvents(decode.decode(wrongCmd, SIGNAL));
   await clock.advance(1000);
   assert.notEqual(answerText(PROMPT, 4) + textOf(seen), answerText(PROMPT, 12));
   assert.equal(continuation + textOf(seen), answerText(PROMPT, 12));
 });
 
-test('only an engine that checks fencing refuses an old order', async () => {
+test('only an engine that checks fencing tokens rejects a stale order', async () => {
   const clock = new VirtualClock();
   const none = () => Promise.resolve(undefined);
   const engine = (checksFencing: boolean): EngineCore =>
--- a/packages/stand-ins/tests/ServiceCore.test.ts
+++ b/packages/stand-ins/tests/ServiceCore.test.ts
@@ -17,7 +17,7 @@
 const SIGNAL = new AbortController().signal;
 
 test('a crash after the effect leaves one execution and no answer', async () => {
-  // The server dies once the certificate is written: the caller can't tell whether it exists.
+  // The server crashes after storing the certificate: the caller can't tell whether it exists.
   const clock = new VirtualClock();
   const service = new ServiceCore(serviceSettings({ id: 's1', delayMs: 20 }), clock);
   const call = service.call(CALL, SIGNAL);
@@ -39,8 +39,8 @@
   assert.equal(service.executions('batch-7'), 0);
 });
 
-test('an answer of a stranger carries another attempt', async () => {
-  // Two answers are swapped on their way: an inspector would read a stranger's certificate.
+test('a crossed answer carries the ID of another attempt', async () => {
+  // Two answers are swapped: a caller would receive the certificate of another caller.
   const clock = new VirtualClock();
   const service = new ServiceCore(serviceSettings({ id: 's1' }), clock);
   service.setFaults({ crossedStreams: 1 });
