--- a/packages/stand-ins/src/demo/DemoFleet.ts
+++ b/packages/stand-ins/src/demo/DemoFleet.ts
@@ -64,7 +64,7 @@
     return this.processes.filter((proc) => proc.hasEnded);
   }
 
-  /** Stops all processes; signals hosts first, so that they can withdraw from the platform. */
+  /** Stops all processes; signals hosts first, so that they can leave the fleet. */
   async stop(): Promise<void> {
     await Promise.all([...this.processes].reverse().map((proc) => proc.stop()));
     rmSync(this.dir, { recursive: true, force: true });
--- a/packages/stand-ins/src/demo/demoSetup.ts
+++ b/packages/stand-ins/src/demo/demoSetup.ts
@@ -15,7 +15,7 @@
 /** Wait for newly started hosts, which need a few seconds to agree on their coordinators. */
 const SETTLE_MS = 6_000;
 
-/** As long as the prompt of a lookup, because hosts estimate engine speeds from observed work. */
+/** About as long as a lookup prompt, because hosts estimate engine speeds from observed work. */
 const READY_PROMPT = 'is everything ready? '.repeat(30);
 
 /**
--- a/packages/stand-ins/src/overhead/main.ts
+++ b/packages/stand-ins/src/overhead/main.ts
@@ -18,7 +18,7 @@
 const clock = new SystemClock();
 const neverAborted = new AbortController().signal;
 
-/** Time to firstToken token and token intervals of one path, in microseconds. */
+/** Time to first token and token intervals of one path, in microseconds. */
 interface LatencyHistograms {
   readonly firstToken: Histogram;
   readonly intervals: Histogram;
--- a/packages/stand-ins/src/platform/MemoryObjectStore.ts
+++ b/packages/stand-ins/src/platform/MemoryObjectStore.ts
@@ -186,7 +186,7 @@
   ): Result<StoredObject, PlatformError> {
     const text = JSON.stringify(value);
     if (text === undefined || Buffer.byteLength(text) > MAX_VALUE_BYTES) {
-      return err({ type: 'invalid', message: `${kind}/${name} is not JSON below a megabyte` });
+      return err({ type: 'invalid', message: `${kind}/${name} is not JSON or exceeds 1 MiB` });
     }
     const current = this.objects.get(keyOf(kind, name));
     if ((current?.version ?? 'absent') !== expected) return err({ type: 'conflict', current });
--- a/packages/stand-ins/src/platform/storeRoutes.ts
+++ b/packages/stand-ins/src/platform/storeRoutes.ts
@@ -20,6 +20,7 @@
       return c.json({ message: error.message }, 422);
     case 'unavailable':
     default:
+      // A client sees a lost answer as a broken connection.
       return error.message.includes('lost')
         ? breakConnection(c)
         : c.json({ message: error.message }, 503);
