--- a/packages/group/src/shares/HeldShare.ts
+++ b/packages/group/src/shares/HeldShare.ts
@@ -3,23 +3,23 @@
 import { capOf, type Share, type ShareSettings } from './ShareSettings.ts';
 import { accrue, emptyBucket, pour, type TokenBucket } from './TokenBucket.ts';
 
-/** What a holder has of one team. */
+/** Share and tokens of one team on one host. */
 export interface HeldShare {
   readonly share: Share;
   readonly bucket: TokenBucket;
-  /** Key of the steward that granted it, and the epoch under which it last did. */
+  /** Key of the coordinator that granted the share; `epoch` is that of its last grant. */
   readonly steward?: string;
   readonly epoch: number;
-  /** Expiry of a grant that its steward's later replies do not renew, on this clock. */
+  /** Expiry of a grant of an earlier epoch, which replies no longer renew, on this host's clock. */
   readonly frozenUntil: Millis;
   readonly demand: number;
   readonly demandAt: Millis;
   readonly given?: GivenTokens;
-  /** Whether there ever was a share of this team here. */
+  /** Whether this host ever held a share of the team. */
   readonly everHeld: boolean;
 }
 
-/** Makes the state of a team of which nothing is held. */
+/** Creates the state of a team of which no share is held. */
 export function nothingHeld(now: Millis): HeldShare {
   return {
     share: 0,
@@ -32,12 +32,12 @@
   };
 }
 
-/** Drops a share whose grant has run out; its tokens go with it, since another may hold it now. */
+/** Drops an expired share with its tokens, since another host may hold it by now. */
 export function lapsed(held: HeldShare, now: Millis): HeldShare {
   return { ...held, share: 0, bucket: emptyBucket(now), given: undefined };
 }
 
-/** Lets the bucket gain up to now. */
+/** Accrues the tokens earned up to `now`. */
 export function refreshed(
   held: HeldShare,
   rate: TeamRate,
@@ -47,12 +47,12 @@
   return { ...held, bucket: accrue(held.bucket, held.share, rate, settings, now) };
 }
 
-/** Gets the demand as of now, in tokens a second. */
+/** Estimates the demand at `now`, in tokens per second; it decays exponentially. */
 export function demandAt(held: HeldShare, settings: ShareSettings, now: Millis): number {
   return held.demand * Math.exp(-(now - held.demandAt) / settings.demandMs);
 }
 
-/** Notes that tokens were asked for, whether or not they were there. */
+/** Adds requested tokens to the demand, whether or not they were available. */
 export function withDemand(
   held: HeldShare,
   tokens: Tokens,
@@ -63,39 +63,40 @@
   return { ...held, demand, demandAt: now };
 }
 
-/** Takes tokens out; undefined where there are too few. */
+/** Takes tokens from the bucket; undefined if there are too few. */
 export function charged(held: HeldShare, tokens: Tokens): HeldShare | undefined {
   const level = held.bucket.level - tokens;
   return level < 0 ? undefined : { ...held, bucket: { ...held.bucket, level } };
 }
 
-/** Puts unused tokens back, as far as the share has room for them. */
+/** Returns unused tokens to the bucket, up to the capacity of the share. */
 export function refunded(held: HeldShare, tokens: Tokens, rate: TeamRate): HeldShare {
   return { ...held, bucket: pour(held.bucket, tokens, held.share, rate) };
 }
 
 /**
- * Works out what leaves the bucket when a share shrinks: its part of the tokens, and what the rest
- * can't hold.
+ * Computes the tokens that leave the bucket when a share shrinks: in proportion to the cut, and at
+ * least what exceeds the capacity of the remaining share.
  */
-function givenUp(held: HeldShare, grant: TeamGrant, rate: TeamRate): number {
+function tokensToReturn(held: HeldShare, grant: TeamGrant, rate: TeamRate): number {
   const { level } = held.bucket;
   const cut = Math.max(0, held.share - grant.share);
-  const part = held.share === 0 ? 0 : (level * cut) / held.share;
+  const proportional = held.share === 0 ? 0 : (level * cut) / held.share;
   const excess = level - capOf(grant.share, rate);
-  return Math.min(Math.ceil(Math.max(part, excess, 0)), Math.floor(level));
+  return Math.min(Math.ceil(Math.max(proportional, excess, 0)), Math.floor(level));
 }
 
 /**
- * Applies a steward's word on a team.
+ * Applies a grant of the coordinator.
  *
- * What shrinks is deducted here, before the steward hears of it and can give it to another: a lost
- * message then loses tokens and never makes them stand twice.
+ * When a share shrinks, its tokens are deducted here before the coordinator learns of it and can
+ * grant them to another host: a lost message then loses tokens and never duplicates them.
  *
- * @param held - What is held, as of now.
- * @param grant - The steward's word.
- * @param id - Number that no earlier gift of this holder to this steward had.
- * @returns What is held then; `given` is set where tokens wait to be reported.
+ * @param held - The held share, accrued up to now.
+ * @param grant - The grant.
+ * @param rate - Rate and burst of the team.
+ * @param id - Number that no earlier return of tokens to this coordinator had.
+ * @returns The new state; `given` is set while returned tokens have yet to be reported.
  */
 export function granted(held: HeldShare, grant: TeamGrant, rate: TeamRate, id: number): HeldShare {
   const everHeld = held.everHeld || grant.share > 0;
@@ -103,14 +104,14 @@
     const bucket = pour({ ...held.bucket, level: 0 }, grant.tokens, grant.share, rate);
     return { ...held, share: grant.share, bucket, given: undefined, everHeld };
   }
-  const tokens = givenUp(held, grant, rate);
+  const tokens = tokensToReturn(held, grant, rate);
   const kept = { ...held.bucket, level: held.bucket.level - tokens };
   const bucket = pour(kept, grant.tokens, grant.share, rate);
   const given = tokens > 0 ? { id, tokens } : undefined;
   return { ...held, share: grant.share, bucket, given, everHeld };
 }
 
-/** Describes a team for its steward. */
+/** Creates the report on a team for its coordinator. */
 export function reportOf(
   team: string,
   held: HeldShare,
--- a/packages/group/src/shares/HolderPair.ts
+++ b/packages/group/src/shares/HolderPair.ts
@@ -1,16 +1,16 @@
 import type { Millis, TeamId } from '@camphorvane/core';
 
-/** What a steward and one holder have exchanged. */
+/** State that a coordinator keeps of its exchange with one holder. */
 export interface HolderPair {
   readonly lastSync: number;
   readonly repliedAt: Millis;
   readonly listedSession: number;
   readonly listedEpoch: number;
-  /** Teams for which the last reply granted something that is not settled yet. */
+  /** Teams whose grant in the last reply is not yet confirmed as applied. */
   readonly pending: readonly TeamId[];
 }
 
-/** A holder that has not been heard of. */
+/** Initial state, before the first message of a holder. */
 export const NEW_HOLDER_PAIR: HolderPair = {
   lastSync: 0,
   repliedAt: 0,
--- a/packages/group/src/shares/ShareHolder.ts
+++ b/packages/group/src/shares/ShareHolder.ts
@@ -15,17 +15,17 @@
 import { NEW_STEWARD_PAIR, type StewardPair } from './StewardPair.ts';
 import { sameRate, SHARE_RULES, type ShareRules, type ShareSettings } from './ShareSettings.ts';
 
-/** Gets the key of a team's steward under the newest epoch that this host knows. */
+/** Gets the key of a team's coordinator under the newest epoch that this host knows. */
 export type StewardLookup = (team: TeamId) => string | undefined;
 
-/** What became of a charge. */
+/** Result of a charge. */
 export type ChargeOutcome =
   | { readonly type: 'charged' }
   | { readonly type: 'short'; readonly lack: Tokens }
   | { readonly type: 'no_grant' }
   | { readonly type: 'unknown_team' };
 
-/** What a {@link ShareHolder} knows; plain values, so that a search can copy it. */
+/** State of a {@link ShareHolder} as plain values, which the model checker can copy. */
 export interface ShareHolderState {
   readonly held: ReadonlyMap<TeamId, HeldShare>;
   readonly pairs: ReadonlyMap<string, StewardPair>;
@@ -34,11 +34,11 @@
 }
 
 /**
- * The shares that one host holds of all teams, without any I/O.
+ * The shares that one host holds of all teams, without I/O.
  *
- * A share may be used while its steward's last reply is young enough on this host's own clock,
- * counted from when the question was sent: a host that is cut off or was paused stops by itself
- * before its steward gives the share to somebody else.
+ * A share is valid for the TTL of its coordinator's last reply, counted on this host's clock from
+ * when the request was sent: a partitioned or paused host thus stops using the share before its
+ * coordinator grants it to another host.
  */
 export class ShareHolder {
   private readonly settings: ShareSettings;
@@ -60,7 +60,7 @@
     this.rules = rules;
   }
 
-  /** Copies this holder; what happens to one does not touch the other. */
+  /** Creates an independent copy. */
   fork(): ShareHolder {
     const copy = new ShareHolder(this.settings, this.rules);
     copy.rates = this.rates;
@@ -71,15 +71,15 @@
     return copy;
   }
 
-  /** Gets all that this holder knows. */
+  /** Gets the whole state of this holder. */
   get state(): ShareHolderState {
     const { held, pairs, dirty, unlisted } = this;
     return { held, pairs, dirty, unlisted };
   }
 
   /**
-   * Sets the rates in force. A share is a part of whatever the rate is, so shares stay; what was
-   * earned until now is earned at the old rates.
+   * Sets the rates in force. Shares are fractions of the rate and stay as they are; tokens up to
+   * `now` accrue at the old rates.
    */
   setTeams(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
     [...this.held.keys()]
@@ -89,7 +89,7 @@
     [...this.held.keys()].filter((team) => !rates.has(team)).forEach((team) => this.forget(team));
   }
 
-  /** Gets until when the grant of a team holds, on this clock. */
+  /** Gets the expiry of a team's grant, on this host's clock. */
   validUntil(team: TeamId): Millis {
     const held = this.held.get(team);
     if (held?.steward === undefined) return -Infinity;
@@ -97,27 +97,27 @@
     return pair !== undefined && pair.epoch === held.epoch ? pair.until : held.frozenUntil;
   }
 
-  /** Gets what is held of a team as of now; undefined for a team that does not exist. */
+  /** Gets the held share of a team, accrued and expired at `now`; undefined for unknown teams. */
   current(team: TeamId, now: Millis): HeldShare | undefined {
     const rate = this.rates.get(team);
     if (rate === undefined) return undefined;
     const held = this.held.get(team) ?? nothingHeld(now);
-    // A paused host wakes up with a grant that somebody else has by now. Without this check it
-    // would admit a second time what the other admits.
-    const isOver = this.rules.checksExpiry && held.share > 0 && now >= this.validUntil(team);
-    const next = isOver ? lapsed(held, now) : refreshed(held, rate, this.settings, now);
-    if (isOver) this.dirty.add(team);
+    // After a pause, another host may have the share by now; without this check both would admit
+    // requests on it.
+    const isExpired = this.rules.checksExpiry && held.share > 0 && now >= this.validUntil(team);
+    const next = isExpired ? lapsed(held, now) : refreshed(held, rate, this.settings, now);
+    if (isExpired) this.dirty.add(team);
     this.held.set(team, next);
     return next;
   }
 
   /**
-   * Charges a team.
+   * Charges a request to a team.
    *
    * @param team - The team.
-   * @param tokens - Prompt plus allowed output.
-   * @param now - This host's clock.
-   * @returns Whether it was charged, and how much lacks otherwise.
+   * @param tokens - Prompt tokens plus the output limit.
+   * @param now - Time on this host's clock.
+   * @returns Whether the request was charged, or how many tokens are missing.
    */
   charge(team: TeamId, tokens: Tokens, now: Millis): ChargeOutcome {
     const held = this.current(team, now);
@@ -132,13 +132,13 @@
     return { type: 'short', lack: Math.ceil(tokens - held.bucket.level) };
   }
 
-  /** Notes that a request asked for tokens, so that shares move to where they are asked for. */
+  /** Adds a request to the demand of its team, so that shares move to where there is demand. */
   demand(team: TeamId, tokens: Tokens, now: Millis): void {
     const held = this.current(team, now);
     if (held !== undefined) this.held.set(team, withDemand(held, tokens, this.settings, now));
   }
 
-  /** Puts back what a charged request did not use. */
+  /** Refunds the tokens that a charged request did not use. */
   refund(team: TeamId, tokens: Tokens, now: Millis): void {
     const held = this.current(team, now);
     const rate = this.rates.get(team);
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Drops everything held: this host was out of the group for a while, so that others may have
-   * counted it out and given its shares on.
+   * Drops all shares after this host was out of the group for a while, since its shares may have
+   * been granted to other hosts.
    */
   dropAll(now: Millis): void {
     this.held.forEach((held, team) => {
@@ -158,7 +158,7 @@
     });
   }
 
-  /** Presents everything held to the stewards of a new epoch. */
+  /** Marks all held shares to be reported to the coordinators of a new epoch. */
   epochChanged(): void {
     this.held.forEach((held, team) => {
       if (held.everHeld) this.dirty.add(team);
@@ -167,10 +167,10 @@
   }
 
   /**
-   * Takes tokens out for a request of another host, leaving what this host's own demand of the
-   * next moment needs. They count as spent here and now, whatever becomes of them.
+   * Lends tokens for a request of another host, but keeps a reserve for this host's own demand.
+   * Lent tokens count as spent at once, whether or not the other host uses them.
    *
-   * @returns How many tokens were taken out.
+   * @returns The number of tokens lent.
    */
   lend(team: TeamId, tokens: Tokens, now: Millis): Tokens {
     const held = this.current(team, now);
@@ -183,10 +183,10 @@
   }
 
   /**
-   * Charges a request with the help of borrowed tokens; what is left of them stays, as far as the
-   * share has room.
+   * Charges a request to borrowed tokens first, then to the bucket; borrowed tokens left over go
+   * into the bucket, up to the capacity of the share.
    *
-   * @returns True if there were enough.
+   * @returns Whether there were enough tokens.
    */
   chargeWith(team: TeamId, tokens: Tokens, borrowed: Tokens, now: Millis): boolean {
     const held = this.current(team, now);
@@ -203,16 +203,16 @@
     if (this.current(team, now) !== undefined) this.dirty.add(team);
   }
 
-  /** Tells whether tokens of a team wait to be reported as given back. */
+  /** Tells whether returned tokens of a team have yet to be reported. */
   hasGift(team: TeamId): boolean {
     return this.held.get(team)?.given !== undefined;
   }
 
-  /** Tells whether a steward has not yet heard of everything held. */
-  hasUnlisted(steward: string): boolean {
-    const pair = this.pairs.get(steward);
+  /** Tells whether some held share has yet to be reported to a coordinator. */
+  hasUnlisted(coordinator: string): boolean {
+    const pair = this.pairs.get(coordinator);
     if (pair !== undefined && pair.listed < pair.session) return true;
-    return (this.unlisted.get(steward)?.size ?? 0) > 0;
+    return (this.unlisted.get(coordinator)?.size ?? 0) > 0;
   }
 
   /** Gets the teams that have something to report. */
@@ -220,31 +220,32 @@
     return this.dirty;
   }
 
-  /** Gets when the last message to a steward was sent; undefined for none. */
-  lastSentAt(steward: string): Millis | undefined {
-    return this.pairs.get(steward)?.sentAt;
+  /** Gets when the last message to a coordinator was sent; undefined for none. */
+  lastSentAt(coordinator: string): Millis | undefined {
+    return this.pairs.get(coordinator)?.sentAt;
   }
 
   /**
-   * Makes the next message to a steward; the reply to any earlier one will not be taken.
+   * Creates the next message to a coordinator; replies to earlier ones will be ignored.
    *
-   * @param steward - Key of the steward.
-   * @param epoch - The newest epoch that this host knows.
-   * @param lookup - Gets each team's steward under that epoch.
+   * @param coordinator - Key of the coordinator.
+   * @param epoch - Newest epoch that this host knows.
+   * @param lookup - Gets each team's coordinator under that epoch.
+   * @param now - Time on this host's clock.
    */
-  sync(steward: string, epoch: number, lookup: StewardLookup, now: Millis): ShareSync {
-    const pair = this.pairs.get(steward) ?? NEW_STEWARD_PAIR;
-    const unlisted = this.unlisted.get(steward) ?? new Set<TeamId>();
+  sync(coordinator: string, epoch: number, lookup: StewardLookup, now: Millis): ShareSync {
+    const pair = this.pairs.get(coordinator) ?? NEW_STEWARD_PAIR;
+    const unlisted = this.unlisted.get(coordinator) ?? new Set<TeamId>();
     const own = [...new Set([...unlisted, ...this.dirty])].filter(
-      (team) => lookup(team) === steward && this.rates.has(team),
+      (team) => lookup(team) === coordinator && this.rates.has(team),
     );
     const teams = own.slice(0, this.settings.maxEntries);
     const isListed = own.length <= teams.length && pair.session > 0;
-    const reports = teams.map((team) => this.report(team, steward, now));
+    const reports = teams.map((team) => this.report(team, coordinator, now));
     teams.forEach((team) => this.dirty.delete(team));
     const lastSync = pair.lastSync + 1;
     const listedSession = isListed ? pair.session : 0;
-    this.pairs.set(steward, {
+    this.pairs.set(coordinator, {
       ...pair,
       ...{ lastSync, sentAt: now, inFlight: teams, listed: listedSession },
     });
@@ -252,36 +253,36 @@
     return { sync: lastSync, acked, epoch, session, listedSession, reports };
   }
 
-  /** Notes that the last message to a steward got no reply: its teams are reported again. */
-  failed(steward: string): void {
-    const pair = this.pairs.get(steward);
+  /** Marks the teams of the last message to be reported again, since it got no reply. */
+  failed(coordinator: string): void {
+    const pair = this.pairs.get(coordinator);
     if (pair === undefined) return;
     pair.inFlight.forEach((team) => this.dirty.add(team));
-    this.pairs.set(steward, { ...pair, listed: 0 });
+    this.pairs.set(coordinator, { ...pair, listed: 0 });
   }
 
   /**
-   * Applies a steward's reply; one to an earlier message than the last is ignored.
+   * Applies a coordinator's reply; a reply to any but the last message is ignored.
    *
-   * @returns The teams that the reply spoke of.
+   * @returns The grants that were applied.
    */
   apply(
-    steward: string,
+    coordinator: string,
     reply: ShareReply,
     lookup: StewardLookup,
     now: Millis,
   ): readonly ShareReply['grants'][number][] {
-    const pair = this.pairs.get(steward);
+    const pair = this.pairs.get(coordinator);
     if (pair === undefined || reply.sync !== pair.lastSync || reply.sync === pair.acked) return [];
     if (reply.epoch < pair.epoch) return [];
-    if (reply.epoch > pair.epoch) this.freeze(steward, pair.until);
+    if (reply.epoch > pair.epoch) this.freeze(coordinator, pair.until);
     const until = Math.max(pair.until, pair.sentAt + reply.ttlMs);
     const { session } = reply;
-    this.pairs.set(steward, { ...pair, acked: reply.sync, epoch: reply.epoch, until, session });
-    this.relist(steward, session > pair.session || reply.epoch > pair.epoch, pair, lookup);
+    this.pairs.set(coordinator, { ...pair, acked: reply.sync, epoch: reply.epoch, until, session });
+    this.relist(coordinator, session > pair.session || reply.epoch > pair.epoch, pair, lookup);
     reply.declined.forEach((team) => this.dirty.add(team));
-    const ours = reply.grants.filter((grant) => lookup(grant.team) === steward);
-    return ours.filter((grant) => this.applyGrant(steward, reply, grant, pair, now));
+    const ours = reply.grants.filter((grant) => lookup(grant.team) === coordinator);
+    return ours.filter((grant) => this.receiveGrant(coordinator, reply, grant, pair, now));
   }
 
   private forget(team: TeamId): void {
@@ -289,35 +290,40 @@
     this.dirty.delete(team);
   }
 
-  private report(team: TeamId, steward: string, now: Millis): ShareSync['reports'][number] {
+  private report(team: TeamId, coordinator: string, now: Millis): ShareSync['reports'][number] {
     const held = this.current(team, now) as HeldShare;
-    // A gift to an earlier steward may have been counted there or not: it is lost.
-    const isOther = held.steward !== undefined && held.steward !== steward;
-    return reportOf(team, isOther ? { ...held, given: undefined } : held, this.settings, now);
+    // Tokens returned to an earlier coordinator are lost, since it may have counted them or not.
+    const hasMoved = held.steward !== undefined && held.steward !== coordinator;
+    return reportOf(team, hasMoved ? { ...held, given: undefined } : held, this.settings, now);
   }
 
   /** Fixes the expiry of grants of an earlier epoch, which later replies must not extend. */
-  private freeze(steward: string, until: Millis): void {
+  private freeze(coordinator: string, until: Millis): void {
     this.held.forEach((held, team) => {
-      const pair = this.pairs.get(steward);
-      if (held.steward !== steward || pair?.epoch !== held.epoch) return;
+      const pair = this.pairs.get(coordinator);
+      if (held.steward !== coordinator || pair?.epoch !== held.epoch) return;
       this.held.set(team, { ...held, frozenUntil: until });
       this.dirty.add(team);
     });
   }
 
-  private relist(steward: string, all: boolean, pair: StewardPair, lookup: StewardLookup): void {
-    const kept = this.unlisted.get(steward) ?? new Set<TeamId>();
+  private relist(
+    coordinator: string,
+    all: boolean,
+    pair: StewardPair,
+    lookup: StewardLookup,
+  ): void {
+    const kept = this.unlisted.get(coordinator) ?? new Set<TeamId>();
     pair.inFlight.forEach((team) => kept.delete(team));
     if (all) {
       this.held.forEach((held, team) => {
-        if (held.everHeld && lookup(team) === steward) kept.add(team);
+        if (held.everHeld && lookup(team) === coordinator) kept.add(team);
       });
     }
-    this.unlisted.set(steward, kept);
+    this.unlisted.set(coordinator, kept);
   }
 
-  private applyGrant(
+  private receiveGrant(
     steward: string,
     reply: ShareReply,
     grant: ShareReply['grants'][number],
--- a/packages/group/src/shares/ShareMessage.ts
+++ b/packages/group/src/shares/ShareMessage.ts
@@ -1,58 +1,59 @@
 import type { Millis, TeamId } from '@camphorvane/core';
 import type { Share } from './ShareSettings.ts';
 
-/** Tokens that a holder has taken out of its bucket for the steward; counted once by its id. */
+/** Tokens that a holder returns to the coordinator; the id makes the return idempotent. */
 export interface GivenTokens {
   readonly id: number;
   readonly tokens: number;
 }
 
-/** What a holder says of one team. */
+/** Report of a holder on one team. */
 export interface TeamReport {
   readonly team: TeamId;
-  /** What it holds now; 0 where its grant has run out. */
+  /** The share held now; 0 if the grant has expired. */
   readonly share: Share;
   readonly level: number;
-  /** Tokens a second asked of it lately. */
+  /** Recent demand, in tokens per second. */
   readonly demand: number;
   readonly given?: GivenTokens;
-  /** True where this holder ever had a grant of the team. */
+  /** Whether this holder ever had a grant of the team. */
   readonly known: boolean;
 }
 
-/** What a holder sends to a steward; each one renews what the steward granted before. */
+/** Message of a holder to a coordinator; each one asks for a renewal of the earlier grants. */
 export interface ShareSync {
-  /** Grows with each message of this holder to this steward. */
+  /** Sequence number of the message, for this holder and coordinator. */
   readonly sync: number;
-  /** Number of the last message whose reply was applied; 0 for none. */
+  /** Sequence number of the last message whose reply was applied; 0 for none. */
   readonly acked: number;
   readonly epoch: number;
-  /** The newest session that this holder has learnt from the steward. */
+  /** Newest session received from the coordinator. */
   readonly session: number;
-  /** The session under which everything held has been reported; 0 while that is not yet so. */
+  /** Session for which all held shares have been reported; 0 until then. */
   readonly listedSession: number;
   readonly reports: readonly TeamReport[];
 }
 
-/** What a steward says of one team; it replaces what the holder had. */
+/** Grant of one team; it replaces the share that the holder had. */
 export interface TeamGrant {
   readonly team: TeamId;
   readonly share: Share;
-  /** Tokens that the steward has taken out of its bucket for the holder. */
+  /** Tokens moved from the coordinator's free bucket to the holder. */
   readonly tokens: number;
-  /** True where what the holder had is void, its tokens included. */
+  /** Whether the holder must discard its share and tokens first. */
   readonly reset: boolean;
 }
 
-/** What a steward answers. */
+/** Reply of a coordinator. */
 export interface ShareReply {
-  /** Number of the message that is answered. */
+  /** Sequence number of the message that is answered. */
   readonly sync: number;
   readonly epoch: number;
-  /** Grows each time the steward takes a team over. */
+  /** Grows each time the coordinator takes over a team. */
   readonly session: number;
+  /** Lifetime of the grants, counted from when the message was sent. */
   readonly ttlMs: Millis;
   readonly grants: readonly TeamGrant[];
-  /** Teams for which this host may not act as steward now. */
+  /** Reported teams that this host may not coordinate now. */
   readonly declined: readonly TeamId[];
 }
--- a/packages/group/src/shares/ShareSettings.ts
+++ b/packages/group/src/shares/ShareSettings.ts
@@ -1,40 +1,39 @@
 import type { Millis, TeamRate } from '@camphorvane/core';
 
-/** A part of a team's rate and burst, in units of which {@link SHARE_UNITS} make the whole. */
+/** Fraction of a team's rate and burst, in units of 1 / {@link SHARE_UNITS}. */
 export type Share = number;
 
-/** Units of a whole share: integers add up exactly, fractions would not. */
+/** Units of a whole share; integers add up exactly, floating-point fractions would not. */
 export const SHARE_UNITS = 1_000_000;
 
-/** How shares are kept and moved; the same for all hosts of a group. */
+/** Settings of the share protocol; the same for all hosts of a group. */
 export interface ShareSettings {
-  /** How long a grant holds without a renewal, on the holder's clock. */
+  /** Lifetime of a grant without renewal, on the holder's clock. */
   readonly ttlMs: Millis;
-  /** Clocks of two hosts run at rates that differ from true time by at most this factor less 1. */
+  /** Largest relative deviation of a host's clock rate from true time, such as 0.001. */
   readonly driftBound: number;
-  /** How often a holder reports the teams that have changed. */
+  /** Interval at which a holder reports changed teams. */
   readonly periodMs: Millis;
-  /** How often it reports to a steward when nothing has changed. */
+  /** Interval at which it reports to a coordinator when nothing has changed. */
   readonly renewMs: Millis;
-  /** Time constant of the estimate of demand. */
+  /** Time constant of the exponentially decaying demand estimate. */
   readonly demandMs: Millis;
-  /** Part of the rate that counts as demand spread evenly over all members. */
+  /** Fraction of the rate that counts as demand spread evenly over all members. */
   readonly evenPart: number;
-  /** Smallest difference from its target for which a share is moved. */
+  /** Smallest deviation from its target for which a share is moved. */
   readonly smallestMove: Share;
-  /** Demand, in milliseconds of it, that a holder keeps when it lends tokens. */
+  /** Tokens that a holder keeps when it lends, as milliseconds of its own demand. */
   readonly keepMs: Millis;
   /** Most teams in one message. */
   readonly maxEntries: number;
 }
 
 /**
- * Settings for hosts about a millisecond apart.
+ * Settings for hosts with a latency of about 1 ms between them.
  *
- * A grant outlives the six seconds or so for which a team is without a steward after a crash. Part of
- * each rate is spread evenly: were nearly all of it to follow demand, the death of the one host that a
- * team uses would take nearly all of its rate for the rest of the grants' time; what others hold can be
- * borrowed at once.
+ * Grants outlive the about 6 s for which a team has no coordinator after a crash. Part of each rate
+ * is spread evenly because a crash of the only host that a team uses would otherwise block nearly
+ * all of its rate until the grants expire; shares of other hosts can be borrowed from at once.
  */
 export const DEFAULT_SHARES: ShareSettings = {
   ttlMs: 8_000,
@@ -49,33 +48,33 @@
 };
 
 /**
- * The rules that safety rests on, apart from the code that applies them: the model checker
- * replaces one at a time and must then find a violation.
+ * The safety rules, separate from the code that applies them: the model checker replaces one at a
+ * time and must then find a violation.
  */
 export interface ShareRules {
-  /** Whether a holder checks the expiry of its grant before it uses it. */
+  /** Whether a holder checks the expiry of a grant before it uses the share. */
   readonly checksExpiry: boolean;
-  /** Gets how long a steward waits, on its clock, before a grant unheard of has surely expired. */
+  /** Gets how long a coordinator waits, on its clock, until an unrenewed grant has expired. */
   expiryWait(settings: ShareSettings): Millis;
-  /** Whether a steward takes a share from what is free before it grants it. */
+  /** Whether a coordinator deducts a share from the free part before it grants it. */
   readonly deductsFirst: boolean;
 }
 
-/** The rules that hosts run by. */
+/** The rules that hosts use. */
 export const SHARE_RULES: ShareRules = {
   checksExpiry: true,
-  // The slowest holder stretches the time to live by 1 / (1 - d); the fastest steward shrinks its
-  // wait by 1 / (1 + d).
+  // The slowest holder clock stretches the TTL by 1 / (1 - d); the fastest coordinator clock
+  // shortens the wait by 1 / (1 + d).
   expiryWait: ({ ttlMs, driftBound }) => (ttlMs * (1 + driftBound)) / (1 - driftBound),
   deductsFirst: true,
 };
 
-/** Gets the largest level that a share of a burst may have, in tokens. */
+/** Gets the bucket capacity of a share, in tokens. */
 export function capOf(share: Share, rate: TeamRate): number {
   return (share / SHARE_UNITS) * rate.burstTokens;
 }
 
-/** Tells whether two rates are equal; a team that does not exist equals only another such. */
+/** Tells whether two rates are equal; an undefined rate equals only another one. */
 export function sameRate(a: TeamRate | undefined, b: TeamRate | undefined): boolean {
   return a?.tokensPerSecond === b?.tokensPerSecond && a?.burstTokens === b?.burstTokens;
 }
--- a/packages/group/src/shares/ShareSteward.ts
+++ b/packages/group/src/shares/ShareSteward.ts
@@ -19,13 +19,13 @@
 } from './TeamLedger.ts';
 import { UnsettledTeams } from './UnsettledTeams.ts';
 
-/** An answer, and the holders that should report at once. */
+/** Reply to a holder, and the holders that should report at once. */
 export interface StewardAnswer {
   readonly reply: ShareReply;
   readonly nudges: readonly ShareNudge[];
 }
 
-/** Keeps the accounts of the teams whose steward this host is, without any I/O. */
+/** Keeps the ledgers of the teams that this host coordinates, without I/O. */
 export class ShareSteward {
   private readonly settings: ShareSettings;
 
@@ -39,7 +39,7 @@
 
   private readonly recovering = new Set<TeamId>();
 
-  /** Teams whose shares may lie far from their targets at holders that do not report them. */
+  /** Teams whose shares may be far from their targets at holders that do not report them. */
   private unsettled = new UnsettledTeams();
 
   private session = 1;
@@ -51,7 +51,7 @@
     this.rules = rules;
   }
 
-  /** Copies this steward; what happens to one does not touch the other. */
+  /** Creates an independent copy. */
   fork(): ShareSteward {
     const copy = new ShareSteward(this.settings, this.rules);
     copy.rates = this.rates;
@@ -64,7 +64,7 @@
     return copy;
   }
 
-  /** Sets the rates in force; what was earned until now is earned at the old ones. */
+  /** Sets the rates in force; tokens up to `now` accrue at the old rates. */
   setTeams(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
     this.ledgers.forEach((ledger, team) => {
       const old = this.rates.get(team);
@@ -74,25 +74,25 @@
     this.rates = rates;
   }
 
-  /** Gets all that decides what this steward does next, as plain values. */
+  /** Gets all state that decides what this coordinator does next, as plain values. */
   get state(): unknown {
     const { ledgers, pairs, recovering, unsettled, session } = this;
     return [[...ledgers], [...pairs], [...recovering], unsettled.state, session];
   }
 
-  /** Gets the accounts, for a dump. */
+  /** Gets the ledgers, for a dump. */
   get accounts(): ReadonlyMap<TeamId, TeamLedger> {
     return this.ledgers;
   }
 
   /**
-   * Answers a holder.
+   * Handles a message of a holder.
    *
    * @param holder - Key of the holder.
-   * @param sync - What it sent.
-   * @param ctx - What is known of the group at this moment.
-   * @param now - This host's clock.
-   * @returns The answer; undefined for a message that was overtaken by a later one.
+   * @param sync - The message.
+   * @param ctx - Present state of the group.
+   * @param now - Time on this host's clock.
+   * @returns The reply; undefined for a message that arrived after a later one.
    */
   answer(
     holder: string,
@@ -103,8 +103,8 @@
     this.expire(now);
     const pair = this.pairs.get(holder) ?? NEW_HOLDER_PAIR;
     if (sync.sync <= pair.lastSync) return undefined;
-    this.noteMembers(ctx);
-    this.settle(holder, pair, sync, now);
+    this.trackMembers(ctx);
+    this.settlePending(holder, pair, sync, now);
     const sessionBefore = this.session;
     this.pairs.set(holder, {
       lastSync: sync.sync,
@@ -114,29 +114,34 @@
       pending: [],
     });
     const reports = sync.reports.filter((report) => this.rates.has(report.team));
-    const declined = reports.filter((report) => !this.mayKeep(report.team, ctx, now));
-    const taken = reports.filter((report) => !declined.includes(report));
-    const parts = taken.map((report) => this.take(holder, report, sync, ctx, now));
+    const declined = reports.filter((report) => !this.ensureLedger(report.team, ctx, now));
+    const accepted = reports.filter((report) => !declined.includes(report));
+    const results = accepted.map((report) => this.handleReport(holder, report, sync, ctx, now));
     this.endRecoveries(ctx, now);
-    const extra = this.unsolicited(holder, new Set(reports.map((one) => one.team)), ctx, now);
-    const grants = [...parts.flatMap((part) => part.grants), ...extra];
-    this.notePending(holder, grants);
-    const opened = this.session > sessionBefore ? ctx.members : [];
+    const extra = this.rebalanceUnreported(
+      holder,
+      new Set(reports.map((report) => report.team)),
+      ctx,
+      now,
+    );
+    const grants = [...results.flatMap((result) => result.grants), ...extra];
+    this.trackPending(holder, grants);
+    const nudgedMembers = this.session > sessionBefore ? ctx.members : [];
     const nudges = mergeNudges(
-      parts.flatMap((part) => part.nudges),
-      opened,
+      results.flatMap((result) => result.nudges),
+      nudgedMembers,
     );
-    const names = declined.map((report) => report.team);
-    const reply = this.replyTo(sync, ctx, grants, names);
-    return { reply, nudges: nudges.filter((one) => one.holder !== holder) };
+    const declinedTeams = declined.map((report) => report.team);
+    const reply = this.replyTo(sync, ctx, grants, declinedTeams);
+    return { reply, nudges: nudges.filter((nudge) => nudge.holder !== holder) };
   }
 
   /**
-   * Opens the account of a team that this host may act for, so that an idle team lies spread over
-   * the members before its first request.
+   * Opens the ledger of a team if this host may coordinate it, so that the shares of an idle team
+   * are spread over the members before its first request.
    */
   ensure(team: TeamId, ctx: StewardContext, now: Millis): void {
-    if (this.rates.has(team)) this.mayKeep(team, ctx, now);
+    if (this.rates.has(team)) this.ensureLedger(team, ctx, now);
   }
 
   private replyTo(
@@ -149,12 +154,12 @@
     return { sync, epoch, session, ttlMs: this.settings.ttlMs, grants, declined };
   }
 
-  /** Frees what holders had whose grants have surely run out. */
+  /** Frees the shares of holders whose grants must have expired. */
   private expire(now: Millis): void {
-    const wait = this.rules.expiryWait(this.settings);
-    const gone = [...this.pairs].filter(([, pair]) => now > pair.repliedAt + wait);
-    gone.forEach(([holder]) => {
-      this.ledgers.forEach((ledger, team) => this.free(team, ledger, holder, now));
+    const expiryWaitMs = this.rules.expiryWait(this.settings);
+    const expired = [...this.pairs].filter(([, pair]) => now > pair.repliedAt + expiryWaitMs);
+    expired.forEach(([holder]) => {
+      this.ledgers.forEach((ledger, team) => this.freeShare(team, ledger, holder, now));
       this.pairs.set(holder, {
         ...(this.pairs.get(holder) ?? NEW_HOLDER_PAIR),
         repliedAt: Infinity,
@@ -162,7 +167,7 @@
     });
   }
 
-  private free(team: TeamId, ledger: TeamLedger, holder: string, now: Millis): void {
+  private freeShare(team: TeamId, ledger: TeamLedger, holder: string, now: Millis): void {
     if (ledger.entries[holder] === undefined) return;
     const rate = this.rates.get(team);
     const base = rate === undefined ? ledger : refreshedLedger(ledger, rate, this.settings, now);
@@ -170,14 +175,14 @@
     this.unsettled.add(team);
   }
 
-  private noteMembers(ctx: StewardContext): void {
+  private trackMembers(ctx: StewardContext): void {
     const key = ctx.members.join(' ');
     if (key === this.membersKey) return;
     this.membersKey = key;
     this.unsettled.reset(ctx.members, [...this.ledgers.keys()]);
   }
 
-  private settle(holder: string, pair: HolderPair, sync: ShareSync, now: Millis): void {
+  private settlePending(holder: string, pair: HolderPair, sync: ShareSync, now: Millis): void {
     const applied = sync.acked === pair.lastSync;
     pair.pending.forEach((team) => {
       const ledger = this.ledgers.get(team);
@@ -188,13 +193,13 @@
     });
   }
 
-  /** Opens or keeps the account of a team; false where this host may not act as its steward. */
-  private mayKeep(team: TeamId, ctx: StewardContext, now: Millis): boolean {
+  /** Opens or keeps the ledger of a team; returns false if this host may not coordinate it. */
+  private ensureLedger(team: TeamId, ctx: StewardContext, now: Millis): boolean {
     if (!ctx.maySteward(team)) return false;
     const known = this.ledgers.get(team);
     if (known === undefined) this.open(team, ctx, now);
     else if (known.epoch !== ctx.epoch) {
-      // Another steward may have granted in between what this account still counts as free.
+      // Another coordinator may have granted meanwhile what this ledger still counts as free.
       if (ctx.stewardThroughout(team, known.epoch)) {
         this.ledgers.set(team, { ...known, epoch: ctx.epoch });
       } else this.open(team, ctx, now);
@@ -215,7 +220,7 @@
     this.unsettled.add(team);
   }
 
-  private take(
+  private handleReport(
     holder: string,
     report: TeamReport,
     sync: ShareSync,
@@ -256,24 +261,24 @@
     return { rate: this.rates.get(team) as TeamRate, settings, rules, members: ctx.members, now };
   }
 
-  /** Moves shares of teams that a holder does not report: idle ones, after a change of members. */
-  private unsolicited(
+  /** Rebalances teams that a holder does not report: idle ones after a change of members. */
+  private rebalanceUnreported(
     holder: string,
     reported: ReadonlySet<TeamId>,
     ctx: StewardContext,
     now: Millis,
   ): readonly TeamGrant[] {
-    const waiting = this.unsettled.of(holder).filter((team) => !reported.has(team));
-    return waiting.slice(0, this.settings.maxEntries).flatMap((team) => {
+    const teams = this.unsettled.of(holder).filter((team) => !reported.has(team));
+    return teams.slice(0, this.settings.maxEntries).flatMap((team) => {
       this.unsettled.remove(holder, team);
       const ledger = this.ledgers.get(team);
       if (ledger === undefined || !this.rates.has(team)) return [];
-      if (!this.mayKeep(team, ctx, now)) return [];
-      return this.move(team, holder, ctx, now);
+      if (!this.ensureLedger(team, ctx, now)) return [];
+      return this.rebalance(team, holder, ctx, now);
     });
   }
 
-  private move(
+  private rebalance(
     team: TeamId,
     holder: string,
     ctx: StewardContext,
@@ -289,7 +294,7 @@
     return isSame ? [] : [grant];
   }
 
-  private notePending(holder: string, grants: readonly TeamGrant[]): void {
+  private trackPending(holder: string, grants: readonly TeamGrant[]): void {
     const pair = this.pairs.get(holder) ?? NEW_HOLDER_PAIR;
     const pending = grants
       .filter(({ team }) => this.ledgers.get(team)?.entries[holder]?.pending !== undefined)
@@ -303,7 +308,7 @@
   }
 
   private allListed(ledger: TeamLedger, ctx: StewardContext): boolean {
-    // Nothing can be left over once everybody who may hold a grant has listed what it holds.
+    // No unreported share can be left once every possible holder has listed its shares.
     return (
       ctx.mayHold?.every((key) => {
         const pair = this.pairs.get(key);
--- a/packages/group/src/shares/StewardContext.ts
+++ b/packages/group/src/shares/StewardContext.ts
@@ -1,18 +1,18 @@
 import type { TeamId } from '@camphorvane/core';
 
-/** What a steward must know of its group at the moment of an answer. */
+/** What a coordinator has to know of its group to answer a message. */
 export interface StewardContext {
   readonly epoch: number;
-  /** Keys of the hosts that belong to the group and stay. */
+  /** Keys of the members that are not leaving. */
   readonly members: readonly string[];
-  /** Keys of all hosts that may hold a grant of an earlier steward; undefined where unknown. */
+  /** Keys of all hosts that may hold a grant of an earlier coordinator; undefined if unknown. */
   readonly mayHold: readonly string[] | undefined;
-  /** True where `mayHold` names every host that ever was in the group. */
+  /** Whether `possibleHolders` lists every host that was ever in the group. */
   readonly isWholeHistory: boolean;
-  /** True where the group has had no epoch before this one. */
+  /** Whether this is the first epoch of the group. */
   readonly isFirstEpoch: boolean;
-  /** Whether this host may act as the steward of a team now. */
+  /** Tells whether this host may now act as the coordinator of a team. */
   maySteward(team: TeamId): boolean;
-  /** Whether this host was the steward of a team in every epoch after the given one. */
+  /** Tells whether this host was the coordinator of a team in every epoch after `since`. */
   stewardThroughout(team: TeamId, since: number): boolean;
 }
--- a/packages/group/src/shares/StewardPair.ts
+++ b/packages/group/src/shares/StewardPair.ts
@@ -1,22 +1,22 @@
 import type { Millis, TeamId } from '@camphorvane/core';
 
-/** What a holder and one steward have exchanged. */
+/** State that a holder keeps of its exchange with one coordinator. */
 export interface StewardPair {
   readonly lastSync: number;
   readonly sentAt: Millis;
   readonly acked: number;
-  /** Epoch under which the steward last answered. */
+  /** Epoch of the coordinator's last reply. */
   readonly epoch: number;
-  /** Until when its grants of that epoch hold, on this clock. */
+  /** Expiry of its grants of that epoch, on this host's clock. */
   readonly until: Millis;
   readonly session: number;
-  /** The session for which the last message listed everything; 0 where it did not. */
+  /** Session for which the last message completed the list of held shares; 0 if it did not. */
   readonly listed: number;
-  /** Teams reported by the last message. */
+  /** Teams reported in the last message. */
   readonly inFlight: readonly TeamId[];
 }
 
-/** A steward that has not been heard of. */
+/** Initial state, before the first reply of a coordinator. */
 export const NEW_STEWARD_PAIR: StewardPair = {
   lastSync: 0,
   sentAt: 0,
--- a/packages/group/src/shares/TeamLedger.ts
+++ b/packages/group/src/shares/TeamLedger.ts
@@ -3,15 +3,15 @@
 import { type Share, SHARE_UNITS, type ShareSettings } from './ShareSettings.ts';
 import { accrue, emptyBucket, pour, type TokenBucket } from './TokenBucket.ts';
 
-/** Something granted of which it is not yet known whether the holder applied it. */
+/** A grant of which it is not yet known whether the holder applied it. */
 export interface PendingGrant {
   readonly share: Share;
   readonly tokens: Tokens;
 }
 
-/** What a steward knows of one holder of a team. */
+/** Entry of one holder in the ledger of a team. */
 export interface LedgerEntry {
-  /** The most that the holder may have. */
+  /** Upper bound of the share that the holder has. */
   readonly share: Share;
   readonly level: number;
   readonly demand: number;
@@ -19,25 +19,25 @@
   readonly pending?: PendingGrant;
   /** Whether the holder ever had a grant of the team. */
   readonly known: boolean;
-  /** Id of the last gift that was counted. */
+  /** Id of the last return of tokens that was counted. */
   readonly givenId: number;
 }
 
-/** A steward's account of one team: what is free, and who has the rest. */
+/** A coordinator's ledger of one team: the free part, and the shares of the holders. */
 export interface TeamLedger {
   readonly team: TeamId;
-  /** Session under which the team was taken over; older reports prove nothing. */
+  /** Session of the takeover of the team; reports of earlier sessions prove nothing. */
   readonly session: number;
-  /** Newest epoch under which this steward was known to be the only one since. */
+  /** Newest epoch up to which this host is known to have been the only coordinator since then. */
   readonly epoch: number;
-  /** Set while shares may exist that nobody has presented; the end by time, on this clock. */
+  /** Set while unreported shares may exist: when they have expired, on this host's clock. */
   readonly recoveringUntil?: Millis;
   readonly free: Share;
   readonly bucket: TokenBucket;
   readonly entries: Readonly<Record<string, LedgerEntry>>;
 }
 
-/** Opens the account of a team whose shares others may still hold. */
+/** Opens the ledger of a team whose shares other hosts may still hold. */
 export function openRecovering(
   team: TeamId,
   session: number,
@@ -49,7 +49,7 @@
   return { team, session, epoch, recoveringUntil: until, free: 0, bucket, entries: {} };
 }
 
-/** Opens the account of a team in a group's first epoch, when nobody can hold anything. */
+/** Opens the ledger of a team in a group's first epoch, when no host can hold a share. */
 export function openFirst(
   team: TeamId,
   session: number,
@@ -61,12 +61,12 @@
   return { team, session, epoch, free: SHARE_UNITS, bucket, entries: {} };
 }
 
-/** Gets the sum of what holders may have. */
+/** Gets the sum of the granted shares. */
 export function grantedShare(ledger: TeamLedger): Share {
   return Object.values(ledger.entries).reduce((sum, entry) => sum + entry.share, 0);
 }
 
-/** Lets the free bucket gain up to now. */
+/** Accrues the tokens of the free bucket up to `now`. */
 export function refreshedLedger(
   ledger: TeamLedger,
   rate: TeamRate,
@@ -76,7 +76,7 @@
   return { ...ledger, bucket: accrue(ledger.bucket, ledger.free, rate, settings, now) };
 }
 
-/** Makes the entry of a holder that has nothing. */
+/** Creates the entry of a holder without a share. */
 export function emptyEntry(now: Millis): LedgerEntry {
   return {
     ...{ share: 0, level: 0, demand: 0 },
@@ -84,17 +84,19 @@
   };
 }
 
-/** Replaces one entry. */
+/** Returns a copy of the ledger with one entry replaced. */
 export function withEntry(ledger: TeamLedger, holder: string, entry: LedgerEntry): TeamLedger {
   return { ...ledger, entries: { ...ledger.entries, [holder]: entry } };
 }
 
 /**
- * Ends the wait for shares that nobody presented: they are free now, without tokens, since whoever
- * had them may have spent them.
+ * Ends the recovery of a ledger: unreported shares become free, without tokens, since their holders
+ * may have spent these.
  *
- * @param isComplete - True where every host that ever was in the group has listed what it had: a
- *   team that none of them ever held is new, and its whole burst is there.
+ * @param ledger - The ledger.
+ * @param rate - Rate and burst of the team.
+ * @param isComplete - Whether every host that was ever in the group has listed its shares; a team
+ *   that none of them ever held is new and gets its whole burst.
  */
 export function withRecoveryEnded(
   ledger: TeamLedger,
@@ -108,17 +110,17 @@
   return { ...ledger, recoveringUntil: undefined, free, bucket: { ...ledger.bucket, level } };
 }
 
-/** Frees what a holder had once its grant has surely run out; its tokens are lost. */
+/** Frees the share of a holder whose grant must have expired; its tokens are lost. */
 export function withoutHolder(ledger: TeamLedger, holder: string): TeamLedger {
   const entry = ledger.entries[holder];
   if (entry === undefined) return ledger;
-  const { [holder]: gone, ...entries } = ledger.entries;
+  const { [holder]: removed, ...entries } = ledger.entries;
   return { ...ledger, free: ledger.free + entry.share, entries };
 }
 
 /**
- * Settles the last grant once the holder's next message shows whether it applied it. What it did
- * not apply it never will, since it takes only replies to its latest message.
+ * Settles the pending grant once the holder's next message shows whether it was applied. A grant
+ * not applied by then never will be, since a holder accepts only the reply to its latest message.
  */
 export function settled(
   ledger: TeamLedger,
@@ -132,8 +134,8 @@
   if (applied) return withEntry(ledger, holder, rest);
   const free = ledger.free + pending.share;
   const bucket = pour(ledger.bucket, pending.tokens, free, rate);
-  const back = { ...rest, share: rest.share - pending.share };
-  return withEntry({ ...ledger, free, bucket }, holder, back);
+  const reverted = { ...rest, share: rest.share - pending.share };
+  return withEntry({ ...ledger, free, bucket }, holder, reverted);
 }
 
 function entryOf(report: TeamReport, givenId: number, now: Millis): LedgerEntry {
@@ -141,13 +143,13 @@
   return { share, level, demand, known, reportedAt: now, givenId };
 }
 
-/** Whether a report could be taken in; `void` where what it claims is not known to be granted. */
+/** Result of a report; `void` if the claimed share is not known to have been granted. */
 export interface Recorded {
   readonly ledger: TeamLedger;
   readonly verdict: 'known' | 'void' | 'present_again';
 }
 
-/** Takes in the share of a holder that this account does not know. */
+/** Applies the report of a holder that has no entry in the ledger. */
 function recordUnknown(
   ledger: TeamLedger,
   holder: string,
@@ -159,8 +161,8 @@
   const empty = withEntry(ledger, holder, { ...entry, share: 0, level: 0 });
   if (report.share === 0) return { ledger: empty, verdict: 'known' };
   if (ledger.recoveringUntil === undefined) return { ledger: empty, verdict: 'void' };
-  // A claim sent before the team was taken over may be older than the end of the grant, and the
-  // earlier steward may have given the same share to somebody else since: it must be made anew.
+  // A report sent before the takeover may be older than the expiry of its grant, and the earlier
+  // coordinator may have granted the same share to another host since: it must be sent again.
   if (session < ledger.session) return { ledger, verdict: 'present_again' };
   if (grantedShare(ledger) + ledger.free + report.share > SHARE_UNITS) {
     return { ledger: empty, verdict: 'void' };
@@ -169,11 +171,15 @@
 }
 
 /**
- * Takes in what a holder reports.
+ * Applies the report of a holder.
  *
- * @param ledger - The account, as of now, with the holder's last grant settled.
- * @param session - The newest session that the holder had learnt when it sent the report.
- * @returns The account then, and whether the claimed share stands.
+ * @param ledger - The ledger, accrued up to now, with the holder's pending grant settled.
+ * @param holder - Key of the holder.
+ * @param report - The report.
+ * @param session - Newest session that the holder knew when it sent the report.
+ * @param rate - Rate and burst of the team.
+ * @param now - Time on this host's clock.
+ * @returns The updated ledger, and whether the claimed share is accepted.
  */
 export function recorded(
   ledger: TeamLedger,
@@ -189,9 +195,9 @@
     return { ledger: withEntry(ledger, holder, { ...known, level: 0 }), verdict: 'void' };
   }
   const { given } = report;
-  const isNew = given !== undefined && given.id > known.givenId;
+  const isNewReturn = given !== undefined && given.id > known.givenId;
   const free = ledger.free + known.share - report.share;
-  const bucket = pour(ledger.bucket, isNew ? given.tokens : 0, free, rate);
-  const entry = entryOf(report, isNew ? given.id : known.givenId, now);
+  const bucket = pour(ledger.bucket, isNewReturn ? given.tokens : 0, free, rate);
+  const entry = entryOf(report, isNewReturn ? given.id : known.givenId, now);
   return { ledger: withEntry({ ...ledger, free, bucket }, holder, entry), verdict: 'known' };
 }
--- a/packages/group/src/shares/TokenBucket.ts
+++ b/packages/group/src/shares/TokenBucket.ts
@@ -1,24 +1,24 @@
 import type { Millis, TeamRate } from '@camphorvane/core';
 import { capOf, type Share, SHARE_UNITS, type ShareSettings } from './ShareSettings.ts';
 
-/** Tokens at hand for one share, as of one moment. */
+/** Token bucket of one share; `level` holds at the time `at`. */
 export interface TokenBucket {
   readonly level: number;
   readonly at: Millis;
 }
 
-/** Makes a bucket without tokens. */
+/** Creates a bucket without tokens. */
 export function emptyBucket(now: Millis): TokenBucket {
   return { level: 0, at: now };
 }
 
 /**
- * Lets a bucket gain what its share has earned.
+ * Accrues the tokens that a share has earned up to `now`.
  *
- * A clock that runs fast would earn more than the rate; time is therefore counted as if this clock
- * were the fastest that the bound on drift allows.
+ * The elapsed time is counted as if this clock were the fastest that the drift bound allows, since
+ * a fast clock would otherwise earn more than the rate.
  *
- * @returns The bucket as of now, never above the share's part of the burst.
+ * @returns The bucket at `now`, capped at the share's part of the burst.
  */
 export function accrue(
   bucket: TokenBucket,
@@ -33,7 +33,7 @@
   return { level, at: Math.max(now, bucket.at) };
 }
 
-/** Adds tokens that come from another share, up to the share's part of the burst. */
+/** Adds tokens from another share or a refund, capped at the share's part of the burst. */
 export function pour(
   bucket: TokenBucket,
   tokens: number,
--- a/packages/group/src/shares/UnsettledTeams.ts
+++ b/packages/group/src/shares/UnsettledTeams.ts
@@ -1,41 +1,41 @@
 import type { TeamId } from '@camphorvane/core';
 
 /**
- * Remembers for each holder the teams whose shares may lie far from their targets, so that a
- * steward looks at those alone and not at all its idle teams with each message.
+ * Tracks for each holder the teams whose shares may be far from their targets, so that with each
+ * message a coordinator rebalances only these and not all its idle teams.
  */
 export class UnsettledTeams {
   private readonly teams = new Map<string, Set<TeamId>>();
 
-  /** Gets all that is remembered, as plain values. */
+  /** Gets the tracked teams as plain values. */
   get state(): readonly (readonly [string, readonly TeamId[]])[] {
     return [...this.teams].map(([holder, teams]) => [holder, [...teams]] as const);
   }
 
-  /** Copies this memory; what happens to one does not touch the other. */
+  /** Creates an independent copy. */
   fork(): UnsettledTeams {
     const copy = new UnsettledTeams();
     this.teams.forEach((teams, holder) => copy.teams.set(holder, new Set(teams)));
     return copy;
   }
 
-  /** Starts anew after a change of members, with all teams to be looked at. */
+  /** Marks all teams for all holders, after a change of members. */
   reset(holders: readonly string[], teams: readonly TeamId[]): void {
     this.teams.clear();
     holders.forEach((holder) => this.teams.set(holder, new Set(teams)));
   }
 
-  /** Has a team looked at for each holder. */
+  /** Marks a team for all holders. */
   add(team: TeamId): void {
     this.teams.forEach((teams) => teams.add(team));
   }
 
-  /** Notes that a team was looked at for one holder. */
+  /** Unmarks a team for one holder. */
   remove(holder: string, team: TeamId): void {
     this.teams.get(holder)?.delete(team);
   }
 
-  /** Gets the teams to be looked at for one holder. */
+  /** Gets the teams marked for one holder. */
   of(holder: string): readonly TeamId[] {
     return [...(this.teams.get(holder) ?? [])];
   }
--- a/packages/group/src/shares/allocation.ts
+++ b/packages/group/src/shares/allocation.ts
@@ -10,24 +10,25 @@
 import { accrue } from './TokenBucket.ts';
 import { type LedgerEntry, type TeamLedger, withEntry } from './TeamLedger.ts';
 
-/** Weight of a full bucket in the choice of shares; an empty one has one more. */
+/** Weight of a holder with a full bucket; an empty bucket adds 1. */
 const FULL_WEIGHT = 0.5;
 
-/** What an allocation depends on besides the account. */
+/** What an allocation depends on besides the ledger. */
 export interface AllocationContext {
   readonly rate: TeamRate;
   readonly settings: ShareSettings;
   readonly rules: ShareRules;
-  /** Keys of the hosts that belong to the group and stay. */
+  /** Keys of the members that are not leaving. */
   readonly members: readonly string[];
   readonly now: Millis;
 }
 
-/** What was decided for one holder. */
+/** Result of an allocation for one holder. */
 export interface Allocation {
+  /** The ledger with the allocation applied. */
   readonly ledger: TeamLedger;
   readonly grant: TeamGrant;
-  /** Holders that have more than suits them while this one has less. */
+  /** Holders above their target share while this one is below its own. */
   readonly givers: readonly string[];
 }
 
@@ -42,22 +43,21 @@
   return entry.demand * Math.exp(-age / ctx.settings.demandMs);
 }
 
-/** Gets how full a holder's bucket is by now, from 0 to 1. */
+/** Gets the fill level of a holder's bucket at present, from 0 to 1. */
 function fullnessOf(entry: LedgerEntry | undefined, ctx: AllocationContext): number {
   const cap = entry === undefined ? 0 : capOf(entry.share, ctx.rate);
   return entry === undefined || cap <= 0 ? 0 : Math.min(1, levelOf(entry, ctx) / cap);
 }
 
 /**
- * Gets the share that suits a holder's demand.
+ * Gets the target share of a holder.
  *
- * Load: skewed callers, and idle teams that come back at any host. Demand alone would leave a host
- * without anything at the moment of its first request, and every small team would move its shares
- * with each request; a part of the rate therefore counts as demand spread evenly. An idle team lies
- * spread over all members, so that no host's death takes more of it than that host's part.
+ * Part of the rate counts as demand spread evenly: with measured demand alone, a host would have no
+ * tokens for its first request, and small teams would move their shares with every request. The
+ * shares of an idle team are spread over all members, so that a crash blocks only one host's part.
  *
- * What a full bucket earns is lost, while the whole team would not be full: shares therefore lean
- * towards hosts whose buckets are emptier, and their tokens come with them.
+ * A full bucket loses what it earns even while other hosts of the team are short of tokens; holders
+ * with emptier buckets therefore get a larger weight, and tokens move with the shares.
  */
 export function targetOf(ledger: TeamLedger, holder: string, ctx: AllocationContext): Share {
   const { members, rate, settings } = ctx;
@@ -71,7 +71,7 @@
   return Math.floor((SHARE_UNITS * weightOf(holder)) / sum);
 }
 
-/** Gets the holders that have more than suits their demand. */
+/** Gets the other holders whose share exceeds their target. */
 function holdersInExcess(
   ledger: TeamLedger,
   holder: string,
@@ -84,7 +84,7 @@
     .map(([other]) => other);
 }
 
-/** Grants more to a holder that has less than its target. */
+/** Raises the share of a holder towards its target, from the free part. */
 function raise(
   ledger: TeamLedger,
   holder: string,
@@ -93,16 +93,16 @@
 ): Allocation {
   const { rate, rules } = ctx;
   const entry = ledger.entries[holder] as LedgerEntry;
-  const add = Math.max(0, Math.min(target - entry.share, ledger.free));
-  const share = entry.share + add;
+  const added = Math.max(0, Math.min(target - entry.share, ledger.free));
+  const share = entry.share + added;
   const room = Math.max(0, capOf(share, rate) - entry.level);
-  const free = ledger.free - add;
-  // Tokens go with their share: what stays must fit the share that stays, or the two together
-  // would hold more than the burst.
-  const part = ledger.free === 0 ? 0 : (ledger.bucket.level * add) / ledger.free;
-  const tokens = Math.floor(Math.min(part, room, ledger.bucket.level));
+  const free = ledger.free - added;
+  // Tokens move with their share: the free tokens must fit the remaining free share, or both
+  // together would exceed the burst.
+  const proportional = ledger.free === 0 ? 0 : (ledger.bucket.level * added) / ledger.free;
+  const tokens = Math.floor(Math.min(proportional, room, ledger.bucket.level));
   const level = Math.min(ledger.bucket.level - tokens, capOf(free, rate));
-  const pending = add > 0 || tokens > 0 ? { share: add, tokens } : undefined;
+  const pending = added > 0 || tokens > 0 ? { share: added, tokens } : undefined;
   const kept = rules.deductsFirst ? { free, bucket: { ...ledger.bucket, level } } : {};
   const next = withEntry({ ...ledger, ...kept }, holder, { ...entry, share, pending });
   const isBehind = target - share > ctx.settings.smallestMove;
@@ -111,13 +111,14 @@
 }
 
 /**
- * Decides what one holder gets or gives back.
+ * Raises or cuts the share of one holder, as the callers of a team move between hosts.
  *
- * Load: a team whose callers move between hosts. Small differences from the target stay, since
- * moving them costs messages and gains nothing.
+ * Small deviations from the target stay, since moving them costs messages and gains nothing.
  *
- * @param ledger - The account, with the holder's report taken in.
- * @returns The account then, the word to the holder, and who is to give up some of its share.
+ * @param ledger - The ledger, with the holder's report applied.
+ * @param holder - Key of the holder.
+ * @param ctx - Rate, settings and members.
+ * @returns The updated ledger, the grant, and the holders that should give up some of their share.
  */
 export function allocate(ledger: TeamLedger, holder: string, ctx: AllocationContext): Allocation {
   const entry = ledger.entries[holder] as LedgerEntry;
