--- a/packages/group/src/groups/GroupPlan.ts
+++ b/packages/group/src/groups/GroupPlan.ts
@@ -1,10 +1,10 @@
 import { rendezvousFirst, type HostId, type TeamId, type ZoneId } from '@camphorvane/core';
 
-/** A host that belongs into some group. */
+/** A host to be assigned to a group. */
 export interface PlannedHost {
   readonly id: HostId;
   readonly zone: ZoneId;
-  /** Hosts of different regions never share a group: regions lose each other for an hour. */
+  /** A group never spans regions, since a network partition between regions can last an hour. */
   readonly region: string;
 }
 
@@ -15,23 +15,23 @@
   readonly hosts: readonly PlannedHost[];
 }
 
-/** Which host belongs to which group. */
+/** Assignment of hosts to groups. */
 export interface GroupPlan {
   readonly groups: readonly PlannedGroup[];
 }
 
 /** Bounds on the size of a group. */
 export interface GroupSizes {
-  /** Fewest hosts: below, one zone's loss can take the majority along. */
+  /** Fewest hosts; in a smaller group the loss of one zone can lose the majority. */
   readonly min: number;
-  /** Most hosts: above, greetings cost more than they give, as they grow with the square. */
+  /** Most hosts; the number of heartbeats grows with the square of the group's size. */
   readonly max: number;
 }
 
-/** Six to nine hosts, as the fleets of today have. */
+/** Default bounds, in hosts. */
 export const GROUP_SIZES: GroupSizes = { min: 6, max: 9 };
 
-/** The plan before there is any host. */
+/** The plan without hosts. */
 export const EMPTY_PLAN: GroupPlan = { groups: [] };
 
 /**
@@ -39,8 +39,8 @@
  *
  * @param team - The team.
  * @param plan - The plan in force.
- * @param region - The region whose groups are chosen among.
- * @returns The group's id, or undefined where the region has no group.
+ * @param region - The region whose groups are considered.
+ * @returns The group's id, or undefined if the region has no group.
  */
 export function groupOfTeam(team: TeamId, plan: GroupPlan, region: string): string | undefined {
   const ids = plan.groups.filter((group) => group.region === region).map((group) => group.id);
@@ -52,8 +52,8 @@
  *
  * @param host - The host.
  * @param plan - The plan in force.
- * @returns The group, or undefined where the plan does not know the host yet.
+ * @returns The group, or undefined if the plan does not list the host yet.
  */
 export function groupOfHost(host: HostId, plan: GroupPlan): PlannedGroup | undefined {
-  return plan.groups.find((group) => group.hosts.some((one) => one.id === host));
+  return plan.groups.find((group) => group.hosts.some((planned) => planned.id === host));
 }
--- a/packages/group/src/groups/planGroups.ts
+++ b/packages/group/src/groups/planGroups.ts
@@ -7,11 +7,11 @@
   type PlannedHost,
 } from './GroupPlan.ts';
 
-function inZone(group: PlannedGroup, zone: ZoneId): number {
+function countInZone(group: PlannedGroup, zone: ZoneId): number {
   return group.hosts.filter((host) => host.zone === zone).length;
 }
 
-function least<T>(
+function minBy<T>(
   items: readonly T[],
   ...measures: readonly ((item: T) => number)[]
 ): T | undefined {
@@ -21,7 +21,7 @@
   })[0];
 }
 
-function moved(
+function moveHost(
   groups: readonly PlannedGroup[],
   host: PlannedHost,
   from: PlannedGroup | undefined,
@@ -29,104 +29,109 @@
 ): readonly PlannedGroup[] {
   return groups.map((group) => {
     if (group.id === from?.id) {
-      return { ...group, hosts: group.hosts.filter((one) => one.id !== host.id) };
+      return { ...group, hosts: group.hosts.filter((member) => member.id !== host.id) };
     }
     return group.id === to.id ? { ...group, hosts: [...group.hosts, host] } : group;
   });
 }
 
 /**
- * Gets how many groups so many hosts should form.
+ * Gets the number of groups for a number of hosts.
  *
- * The number stays as it is while every group can keep within its bounds, because each group more
- * or less moves teams and hosts.
+ * It stays at the current number while all groups can be within the size bounds, because adding or
+ * removing a group moves teams and hosts.
  */
-function wantedGroups(hosts: number, current: number, sizes: GroupSizes): number {
+function countWantedGroups(hosts: number, current: number, sizes: GroupSizes): number {
   const fewest = Math.ceil(hosts / sizes.max);
   const most = Math.max(fewest, Math.floor(hosts / sizes.min));
   return Math.min(most, Math.max(fewest, current));
 }
 
-function freshId(region: string, groups: readonly PlannedGroup[]): string {
+function createGroupId(region: string, groups: readonly PlannedGroup[]): string {
   const taken = new Set(groups.map((group) => group.id));
   let number = 1;
   while (taken.has(`${region}-${number}`)) number += 1;
   return `${region}-${number}`;
 }
 
-function withCount(
+function withGroupCount(
   groups: readonly PlannedGroup[],
   wanted: number,
   region: string,
 ): readonly PlannedGroup[] {
   if (groups.length < wanted) {
-    const fresh = { id: freshId(region, groups), region, hosts: [] };
-    return withCount([...groups, fresh], wanted, region);
+    const fresh = { id: createGroupId(region, groups), region, hosts: [] };
+    return withGroupCount([...groups, fresh], wanted, region);
   }
   if (groups.length === wanted) return groups;
-  const smallest = least(groups, (group) => group.hosts.length);
-  return withCount(
+  const smallest = minBy(groups, (group) => group.hosts.length);
+  return withGroupCount(
     groups.filter((group) => group.id !== smallest?.id),
     wanted,
     region,
   );
 }
 
-/** Puts a host where its zone has fewest, so that a zone's loss costs each group as little. */
-function placed(
+/** Assigns a host to the group with the fewest hosts of its zone, to limit a zone loss. */
+function assignHost(
   groups: readonly PlannedGroup[],
   host: PlannedHost,
   sizes: GroupSizes,
 ): readonly PlannedGroup[] {
   const open = groups.filter((group) => group.hosts.length < sizes.max);
-  const best = least(
+  const best = minBy(
     open,
-    (group) => inZone(group, host.zone),
+    (group) => countInZone(group, host.zone),
     (group) => group.hosts.length,
   );
-  return best === undefined ? groups : moved(groups, host, undefined, best);
+  return best === undefined ? groups : moveHost(groups, host, undefined, best);
 }
 
-/** Fills groups that are too small from the largest ones. */
-function levelled(groups: readonly PlannedGroup[], floor: number): readonly PlannedGroup[] {
-  const smallest = least(groups, (group) => group.hosts.length);
-  const largest = least(groups, (group) => -group.hosts.length);
+/** Moves hosts from the largest groups to those that are too small. */
+function fillSmallGroups(groups: readonly PlannedGroup[], floor: number): readonly PlannedGroup[] {
+  const smallest = minBy(groups, (group) => group.hosts.length);
+  const largest = minBy(groups, (group) => -group.hosts.length);
   if (smallest === undefined || largest === undefined) return groups;
   if (smallest.hosts.length >= floor || largest.hosts.length <= floor) return groups;
-  const host = least(
+  const host = minBy(
     largest.hosts,
-    (one) => inZone(smallest, one.zone) - inZone(largest, one.zone),
+    (one) => countInZone(smallest, one.zone) - countInZone(largest, one.zone),
   );
   if (host === undefined) return groups;
-  return levelled(moved(groups, host, largest, smallest), floor);
+  return fillSmallGroups(moveHost(groups, host, largest, smallest), floor);
 }
 
-/** Finds the zone that holds a majority of a group. */
-function heavyZone(group: PlannedGroup): ZoneId | undefined {
+/** Finds the zone that has a majority of a group's hosts. */
+function findMajorityZone(group: PlannedGroup): ZoneId | undefined {
   const zones = [...new Set(group.hosts.map((host) => host.zone))];
-  return zones.find((zone) => inZone(group, zone) * 2 > group.hosts.length);
+  return zones.find((zone) => countInZone(group, zone) * 2 > group.hosts.length);
 }
 
 /**
- * Exchanges one pair of hosts where one zone holds a majority of a group.
+ * Swaps one pair of hosts if a zone has a majority of a group's hosts.
  *
- * Losing that zone would leave the group without a majority until the platform's list forgets its
- * hosts. At most one pair moves with each plan, since a moved host hands over all that it holds.
+ * The loss of that zone would leave the group without a majority until the platform's host list
+ * drops its hosts. Each plan swaps at most one pair, since a moved host has to hand over all its
+ * state.
  */
-function spread(groups: readonly PlannedGroup[]): readonly PlannedGroup[] {
-  const heavy = groups.find((group) => heavyZone(group) !== undefined);
-  if (heavy === undefined) return groups;
-  const zone = heavyZone(heavy);
-  const given = heavy.hosts.find((host) => host.zone === zone);
-  if (given === undefined || zone === undefined) return groups;
-  const other = least(
-    groups.filter((group) => group.id !== heavy.id && heavyZone(group) === undefined),
-    (group) => inZone(group, zone),
+function swapFromMajorityZone(groups: readonly PlannedGroup[]): readonly PlannedGroup[] {
+  const overweight = groups.find((group) => findMajorityZone(group) !== undefined);
+  if (overweight === undefined) return groups;
+  const zone = findMajorityZone(overweight);
+  const outgoing = overweight.hosts.find((host) => host.zone === zone);
+  if (outgoing === undefined || zone === undefined) return groups;
+  const other = minBy(
+    groups.filter((group) => group.id !== overweight.id && findMajorityZone(group) === undefined),
+    (group) => countInZone(group, zone),
   );
-  const taken =
-    other && least(other.hosts, (host) => inZone(heavy, host.zone) - inZone(other, host.zone));
-  if (other === undefined || taken === undefined || taken.zone === zone) return groups;
-  return moved(moved(groups, given, heavy, other), taken, other, heavy);
+  const incoming =
+    other &&
+    minBy(
+      other.hosts,
+      (host) => countInZone(overweight, host.zone) - countInZone(other, host.zone),
+    );
+  if (other === undefined || incoming === undefined || incoming.zone === zone) return groups;
+  return moveHost(moveHost(groups, outgoing, overweight, other), incoming, other, overweight);
 }
 
 function planRegion(
@@ -140,27 +145,27 @@
     ...group,
     hosts: group.hosts.flatMap((host) => known.get(host.id) ?? []),
   }));
-  const wanted = wantedGroups(hosts.length, kept.length, sizes);
-  const counted = withCount(kept, wanted, region);
+  const wanted = countWantedGroups(hosts.length, kept.length, sizes);
+  const counted = withGroupCount(kept, wanted, region);
   const assigned = new Set(counted.flatMap((group) => group.hosts.map((host) => host.id)));
   const filled = hosts
     .filter((host) => !assigned.has(host.id))
     .sort((a, b) => (a.id < b.id ? -1 : 1))
-    .reduce<readonly PlannedGroup[]>((groups, host) => placed(groups, host, sizes), counted);
+    .reduce<readonly PlannedGroup[]>((groups, host) => assignHost(groups, host, sizes), counted);
   const floor = wanted === 0 ? 0 : Math.min(sizes.min, Math.floor(hosts.length / wanted));
-  return spread(levelled(filled, floor));
+  return swapFromMajorityZone(fillSmallGroups(filled, floor));
 }
 
 /**
- * Works out which host belongs to which group, moving as few hosts as it can.
+ * Assigns hosts to groups and moves as few hosts as possible.
  *
- * It goes on from the plan before, because a fresh division of the whole fleet would move many
- * hosts whenever one comes or goes, and each move hands over leases, shares and reservations.
+ * The plan is derived from the previous one, because planning from scratch would move many hosts
+ * whenever one joins or leaves, and each move hands over leases, shares and reservations.
  *
  * @param previous - The plan in force, or {@link EMPTY_PLAN}.
- * @param hosts - All hosts that run now.
+ * @param hosts - All running hosts.
  * @param sizes - Bounds on the size of a group.
- * @returns The next plan; equal inputs give equal plans.
+ * @returns The next plan, which depends on the inputs alone.
  */
 export function planGroups(
   previous: GroupPlan,
--- a/packages/group/tests/groups/planGroups.test.ts
+++ b/packages/group/tests/groups/planGroups.test.ts
@@ -11,7 +11,7 @@
   type PlannedHost,
 } from '../../src/index.ts';
 
-/** The fleet to come: two regions with seven zones. */
+/** Availability zones of the test fleet, over two regions. */
 const FLEET_ZONES = 7;
 
 function fleet(count: number): readonly PlannedHost[] {
@@ -46,7 +46,7 @@
   });
 }
 
-test('the hosts of today form one group', () => {
+test('nine hosts form one group', () => {
   const hosts = fleet(9).map((host) => ({ ...host, region: 'bengal' }));
   assert.deepEqual(
     planGroups(EMPTY_PLAN, hosts).groups.map((group) => group.hosts.length),
@@ -54,7 +54,7 @@
   );
 });
 
-test('350 hosts form groups of six to nine that span the zones of one region', () => {
+test('350 hosts form groups of six to nine hosts across the zones of one region', () => {
   const plan = planGroups(EMPTY_PLAN, fleet(350));
   assertSizes(plan);
   assert.ok(plan.groups.length >= 39 && plan.groups.length <= 45, `${plan.groups.length}`);
@@ -64,9 +64,9 @@
   });
 });
 
-test('a day of replacements moves few other hosts and keeps groups in bounds', () => {
-  // Some six hundred hosts go and come in a day. Each host that changes its group hands over what
-  // it holds, so that many moves would be felt by callers as refusals.
+test('replacing 600 hosts one by one moves few other hosts and keeps groups in bounds', () => {
+  // About 600 hosts are replaced in a day. A host that changes its group hands over all its state,
+  // so that many moves would cause refusals for callers.
   const random = new RandomSource(7);
   let hosts = fleet(350);
   let plan = planGroups(EMPTY_PLAN, hosts);
@@ -88,8 +88,8 @@
 });
 
 test('the loss of a zone leaves every group a majority of its hosts', () => {
-  // A whole availability zone goes dark. A group of which half were there could not agree on who
-  // takes over, and its teams would be refused until the zone is back.
+  // A group with half of its hosts in a failed availability zone has no quorum for a takeover, and
+  // its teams would be refused until the zone recovers.
   const hosts = fleet(350);
   const plan = planGroups(EMPTY_PLAN, hosts);
   plan.groups.forEach(({ id, hosts: all }) => {
@@ -98,7 +98,7 @@
   });
 });
 
-test('one group more moves only the teams that it takes', () => {
+test('adding a group moves only the teams that it gets', () => {
   const before = planGroups(
     EMPTY_PLAN,
     fleet(63).map((host) => ({ ...host, region: 'east' })),
