--- a/packages/group/src/membership/GroupMember.ts
+++ b/packages/group/src/membership/GroupMember.ts
@@ -30,10 +30,10 @@
 }
 
 /**
- * One host's part in the membership of a group, without input or output.
+ * State machine of one host in the membership protocol of its group, without I/O.
  *
- * The state is a plain value that every step replaces, so that a search can keep it, compare it and
- * go on from it in many ways.
+ * The state is an immutable value that each step replaces, so that the model checker can store it,
+ * compare it and branch from it.
  */
 export class GroupMember {
   private current: MemberState;
@@ -43,9 +43,9 @@
   private readonly rules: MembershipRules;
 
   /**
-   * @param state - Where to start, such as {@link initialState}.
-   * @param settings - Periods and bounds; the same for all hosts of a group.
-   * @param rules - The rules of safety; only the model checker gives others.
+   * @param state - Initial state, such as {@link initialState}.
+   * @param settings - Intervals and bounds; the same for all hosts of a group.
+   * @param rules - Safety rules; only the model checker passes others.
    */
   constructor(
     state: MemberState,
@@ -57,7 +57,7 @@
     this.rules = rules;
   }
 
-  /** Makes the member of a host that has just started. */
+  /** Creates the member of a host that has just started. */
   static start(
     group: string,
     self: MemberIdentity,
@@ -72,76 +72,79 @@
     return this.current;
   }
 
-  /** Gets what this host knows of its group. */
+  /** Gets this host's view of its group. */
   view(now: Millis): GroupView {
     return viewOf(this.current, this.settings, this.rules, now);
   }
 
-  /** Gets the steward of a key under the newest epoch known, if the group has members. */
+  /** Gets the coordinator of a key in the newest known epoch; undefined in an empty group. */
   stewardOf(key: string): HostId | undefined {
     return stewardOf(key, { members: this.current.record?.members ?? [] });
   }
 
-  /** Tells whether this host may act as the steward of a key now. */
+  /** Tells whether this host may now act as the coordinator of a key. */
   maySteward(key: string, now: Millis): boolean {
     return maySteward(this.current, this.settings, this.rules, key, now);
   }
 
-  /** Gets the members that have not answered this host for long. */
+  /** Gets the members that are timed out on this host. */
   silent(now: Millis): readonly string[] {
     return silentMembers(this.current, this.settings, now);
   }
 
   /**
-   * Takes in one thing that happened.
+   * Handles one event.
    *
-   * @param input - What happened.
-   * @param now - The host's monotonic time in milliseconds; it never goes back.
-   * @returns What is to be done, in order.
+   * @param input - The event.
+   * @param now - The host's monotonic time in milliseconds.
+   * @returns The actions to perform, in order.
    */
   step(input: MemberInput, now: Millis): readonly MemberEffect[] {
-    const taken = this.take(input, now);
-    const closing = withClosing(taken.state, this.rules, now);
-    const wishing = withWish(closing, this.settings, this.rules, now);
-    const greeted = this.greet(wishing, now);
-    this.current = greeted.state;
-    return [...taken.effects, ...greeted.effects];
+    const handled = this.handle(input, now);
+    const closing = withClosing(handled.state, this.rules, now);
+    const proposing = withWish(closing, this.settings, this.rules, now);
+    const sent = this.sendHellos(proposing, now);
+    this.current = sent.state;
+    return [...handled.effects, ...sent.effects];
   }
 
-  private take(input: MemberInput, now: Millis): Stepped {
+  private handle(input: MemberInput, now: Millis): Stepped {
     const { current } = this;
     switch (input.type) {
       case 'tick':
-        return this.tick(now);
+        return this.handleTick(now);
       case 'asked':
-        return this.asked(input.message, now);
+        return this.handleHello(input.message, now);
       case 'answered':
-        return { state: this.answered(input.to, input.sentAt, input.message, now), effects: [] };
+        return {
+          state: this.handleWelcome(input.to, input.sentAt, input.message, now),
+          effects: [],
+        };
       case 'read':
-        return this.read(input.id, input.outcome, now);
+        return this.handleRead(input.id, input.outcome, now);
       case 'wrote':
-        return { state: this.wrote(input.id, input.outcome, now), effects: [] };
+        return { state: this.handleWritten(input.id, input.outcome, now), effects: [] };
       case 'hosts': {
         const hosts = input.hosts ?? [];
         return { state: withHostList(current, hosts, this.settings, now), effects: [] };
       }
       case 'drain':
-        return { state: this.intend('drain', now), effects: [] };
+        return { state: this.withIntent('drain', now), effects: [] };
       case 'leave':
-        return { state: this.intend('leave', now), effects: [] };
+        return { state: this.withIntent('leave', now), effects: [] };
       default:
         return input satisfies never;
     }
   }
 
-  private intend(intent: MemberIntent, now: Millis): MemberState {
+  private withIntent(intent: MemberIntent, now: Millis): MemberState {
     const { current } = this;
     if (current.intent === 'leave') return current;
     const next = { ...current, intent, nextHelloAt: now };
     return intent === 'leave' ? withEnded(next, current.self) : next;
   }
 
-  private tick(now: Millis): Stepped {
+  private handleTick(now: Millis): Stepped {
     const awake = withWaking(this.current, this.settings, now);
     const known = withoutStrangers(awake, this.settings, now);
     const vouched = withVouches(known, this.rules, now);
@@ -162,15 +165,16 @@
   }
 
   /**
-   * Gets the time between reads of the object.
+   * Gets the interval between reads of the group's record.
    *
-   * Reads are rare while the members vouch for each other, because the platform's rate does not grow
-   * with the fleet; they are frequent only where the platform is the last resort.
+   * Reads are rare while the members vouch for each other, because the platform's call rate does
+   * not grow with the fleet. They are frequent only when the permission to act is expiring or a
+   * write is due.
    */
   private readInterval(state: MemberState, now: Millis): Millis {
     const until = actUntil(state, this.settings);
-    const isRunningOut = until === undefined || until - now < this.settings.actForMs / 2;
-    const isUrgent = isRunningOut || isWriteDue(state, this.settings, this.rules, now);
+    const isExpiring = until === undefined || until - now < this.settings.actForMs / 2;
+    const isUrgent = isExpiring || isWriteDue(state, this.settings, this.rules, now);
     return isUrgent
       ? backoff(state, this.settings)
       : this.settings.platformReadMs * (1 + this.settings.jitter / 2);
@@ -189,12 +193,12 @@
     return { state: { ...state, lastHostsAt: now }, effects: [{ type: 'read_hosts' }] };
   }
 
-  private hello(state: MemberState): Hello {
+  private createHello(state: MemberState): Hello {
     const { group, self, intent } = state;
     return { type: 'hello', group, from: self, epoch: state.record?.epoch ?? 0, intent };
   }
 
-  private asked(hello: Hello, now: Millis): Stepped {
+  private handleHello(hello: Hello, now: Millis): Stepped {
     const { current } = this;
     if (hello.group !== current.group) return { state: current, effects: [] };
     const state = withHello(current, hello, now);
@@ -209,11 +213,21 @@
     };
     const reply: MemberEffect = { type: 'reply', message };
     if (hello.epoch <= epoch) return { state, effects: [reply] };
-    const back = { type: 'ask', to: hello.from, sentAt: now, message: this.hello(state) } as const;
+    const back = {
+      type: 'ask',
+      to: hello.from,
+      sentAt: now,
+      message: this.createHello(state),
+    } as const;
     return { state, effects: [reply, back] };
   }
 
-  private answered(to: MemberIdentity, sentAt: Millis, message: Welcome, now: Millis): MemberState {
+  private handleWelcome(
+    to: MemberIdentity,
+    sentAt: Millis,
+    message: Welcome,
+    now: Millis,
+  ): MemberState {
     const replaced = withReplacement(this.current, to, message.from);
     const adopted =
       message.record === undefined ? replaced : withRecord(replaced, message.record, now);
@@ -221,7 +235,7 @@
     return withVouches(known, this.rules, now);
   }
 
-  private read(id: number, outcome: ReadOutcome, now: Millis): Stepped {
+  private handleRead(id: number, outcome: ReadOutcome, now: Millis): Stepped {
     const { pending } = this.current;
     if (pending?.type !== 'read' || pending.id !== id) {
       return { state: this.current, effects: [] };
@@ -244,11 +258,11 @@
   }
 
   /**
-   * Writes the next epoch right after a read.
+   * Writes the next epoch right after a read, if one is wanted.
    *
-   * The write names the version just read, so that of two hosts that write the same epoch one gets
-   * a conflict. A record that was removed by hand is written anew by those who still know it: left
-   * absent, the next host to start would begin again at epoch 1 beside them.
+   * The write is conditional on the version just read, so that of two hosts writing the same epoch
+   * one gets a conflict. A record removed by hand is written again by members that still know it;
+   * otherwise the next host to start would create epoch 1 beside them.
    */
   private writeIfWanted(state: MemberState, expected: number | 'absent', now: Millis): Stepped {
     const { settings, rules } = this;
@@ -259,12 +273,12 @@
         ? this.write(state, firstRecord(state), expected, now)
         : { state, effects: [] };
     }
-    const wished = withWish(state, settings, rules, now);
-    const isDue = isWriteDue(wished, settings, rules, now);
-    const isLost = expected === 'absent' && mayWrite(wished, settings, rules, now);
-    if (!isDue && !isLost) return { state: wished, effects: [] };
-    const next = nextRecord(wished, record, settings, rules, now);
-    return this.write(wished, next, expected, now);
+    const proposed = withWish(state, settings, rules, now);
+    const isDue = isWriteDue(proposed, settings, rules, now);
+    const isRecordLost = expected === 'absent' && mayWrite(proposed, settings, rules, now);
+    if (!isDue && !isRecordLost) return { state: proposed, effects: [] };
+    const next = nextRecord(proposed, record, settings, rules, now);
+    return this.write(proposed, next, expected, now);
   }
 
   private write(
@@ -280,13 +294,13 @@
   }
 
   /**
-   * Takes in the result of a write.
+   * Handles the result of a write.
    *
-   * After a conflict or a lost answer the member stays in its epoch and reads: whatever is stored
-   * then is the next epoch, whoever wrote it, and a write that takes effect late is found the same
-   * way. Nobody takes anything over before a majority knows of it.
+   * After a conflict or a lost answer the member stays in its epoch and reads again: the stored
+   * record is the next epoch, whoever wrote it, and a write that takes effect late is found the
+   * same way. No member takes over before a majority knows the new epoch.
    */
-  private wrote(id: number, outcome: WriteOutcome, now: Millis): MemberState {
+  private handleWritten(id: number, outcome: WriteOutcome, now: Millis): MemberState {
     const { pending } = this.current;
     if (pending?.type !== 'write' || pending.id !== id) return this.current;
     const idle = { ...this.current, pending: undefined };
@@ -302,20 +316,20 @@
     }
   }
 
-  /** Greets the members, and those left out whose word ends the epoch before. */
-  private greet(state: MemberState, now: Millis): Stepped {
+  /** Sends hellos to the members, and to removed ones whose reply can end the previous epoch. */
+  private sendHellos(state: MemberState, now: Millis): Stepped {
     const { record } = state;
     if (record === undefined || now < state.nextHelloAt) return { state, effects: [] };
     const before = record.lineage.at(-1)?.members ?? [];
-    const leftOut = before.filter(
+    const removed = before.filter(
       (past) => !past.ended && knownEpochOf(state, past) < record.epoch,
     );
     const targets = new Map(
-      [...record.members, ...leftOut]
+      [...record.members, ...removed]
         .filter((member) => memberKey(member) !== memberKey(state.self) && !hasEnded(state, member))
         .map((member): [string, MemberIdentity] => [memberKey(member), member]),
     );
-    const message = this.hello(state);
+    const message = this.createHello(state);
     const effects = [...targets.values()].map((to): MemberEffect => ({
       type: 'ask',
       to,
--- a/packages/group/src/membership/GroupRecord.ts
+++ b/packages/group/src/membership/GroupRecord.ts
@@ -2,11 +2,11 @@
 import * as z from 'zod';
 import { memberKey, type MemberIdentity } from './MemberIdentity.ts';
 
-/** A member as the group's object lists it. */
+/** A member in the group's stored record. */
 export interface RecordMember extends MemberIdentity {
-  /** True while the host drains: it still vouches, but is steward of nothing. */
+  /** True while the host drains: it still vouches, but coordinates no keys if others can. */
   readonly draining: boolean;
-  /** True once the platform's host list has shown the host; only then can its absence count. */
+  /** True once the host has appeared in the platform's host list; only then does absence count. */
   readonly listed: boolean;
 }
 
@@ -14,28 +14,28 @@
 export interface PastMember extends MemberIdentity {
   readonly draining: boolean;
   readonly listed: boolean;
-  /** True where the writer knew that this incarnation will never act or vouch again. */
+  /** Whether the writer knew that this incarnation will never act or vouch again. */
   readonly ended: boolean;
 }
 
-/** The members of an earlier epoch, kept until nobody can act under it any more. */
+/** The members of an earlier epoch, kept until none can act under it any more. */
 export interface PastEpoch {
   readonly epoch: number;
   readonly members: readonly PastMember[];
 }
 
-/** The object of a group in the platform; written only when the membership changes. */
+/** The stored record of a group in the platform; written only when the membership changes. */
 export interface GroupRecord {
   readonly group: string;
-  /** Grows by one with each write, so that one epoch names one list of members. */
+  /** Grows by one with each write, so that each epoch has exactly one list of members. */
   readonly epoch: number;
   readonly members: readonly RecordMember[];
   /**
-   * Earlier epochs under which somebody may still act, oldest first, without gaps, up to
-   * `epoch - 1`. All before them were settled when this record was written.
+   * Earlier epochs under which some member may still act, oldest first, without gaps, up to
+   * `epoch - 1`. All before them had settled when this record was written.
    */
   readonly lineage: readonly PastEpoch[];
-  /** Names the write, so that two records of one epoch could be told apart. */
+  /** Identifies the write, to distinguish two records of one epoch. */
   readonly nonce: string;
 }
 
@@ -49,7 +49,7 @@
   listed: z.boolean(),
 };
 
-/** Unknown fields are dropped, so that a newer program's record can be read by an older one. */
+/** Unknown fields are dropped, so that an older version can read a newer one's record. */
 export const recordSchema = z.object({
   group: z.string(),
   epoch: z.number().int().min(1),
@@ -64,10 +64,10 @@
 });
 
 /**
- * Reads a record from a stored value.
+ * Parses a record.
  *
- * @param value - What the platform or a peer gave.
- * @returns The record, or what is wrong with the value.
+ * @param value - The value received from the platform or a peer.
+ * @returns The record, or a description of the error.
  */
 export function parseGroupRecord(value: unknown): Result<GroupRecord, string> {
   const parsed = recordSchema.safeParse(value);
@@ -79,7 +79,7 @@
  *
  * @param members - The list.
  * @param wanted - The incarnation.
- * @returns Its entry, or undefined where the list has it not.
+ * @returns Its entry, or undefined if it is not in the list.
  */
 export function findMember<M extends MemberIdentity>(
   members: readonly M[],
--- a/packages/group/src/membership/GroupView.ts
+++ b/packages/group/src/membership/GroupView.ts
@@ -5,24 +5,24 @@
 import type { MemberState } from './MemberState.ts';
 import { stewardAmong } from './stewardAmong.ts';
 
-/** What a host knows of its group at one moment. */
+/** A host's view of its group at one moment. */
 export interface GroupView {
   readonly group: string;
   /** 0 while no record is known. */
   readonly epoch: number;
   readonly members: readonly RecordMember[];
-  /** Whether this host may use what the epoch gives it: shares, reservations, stewardship, orders. */
+  /** Whether this host may use its shares, reservations, orders and coordinator roles. */
   readonly mayAct: boolean;
-  /** When the permission to act ends unless it is renewed, on this host's clock. */
+  /** Expiry of the permission to act unless renewed, on this host's clock. */
   readonly actUntil?: Millis;
   /**
-   * From when on nobody acts under an earlier epoch, on this host's clock; absent while that is
-   * unknown. Whatever cannot be asked of an earlier steward may be taken over then.
+   * When no member acts under an earlier epoch any more, on this host's clock; absent while
+   * unknown. State of unreachable earlier coordinators may be taken over from then on.
    */
   readonly takeoverAt?: Millis;
 }
 
-/** Gets what a member knows of its group. */
+/** Gets a member's view of its group. */
 export function viewOf(
   state: MemberState,
   settings: MembershipSettings,
@@ -40,10 +40,10 @@
 }
 
 /**
- * Gets the steward of a key under a view's epoch; it may not have taken over yet.
+ * Gets the coordinator of a key in a view's epoch; it may not have taken over yet.
  *
- * @param key - A team, a pool part or whatever else has one steward.
- * @param view - What a host knows of its group.
+ * @param key - A team, a pool part or any other key with a single coordinator.
+ * @param view - The host's view of its group.
  * @returns The host, or undefined in an empty group.
  */
 export function stewardOf(key: string, view: Pick<GroupView, 'members'>): HostId | undefined {
--- a/packages/group/src/membership/MemberEffect.ts
+++ b/packages/group/src/membership/MemberEffect.ts
@@ -3,7 +3,7 @@
 import type { MemberIdentity } from './MemberIdentity.ts';
 import type { Hello, Welcome } from './MembershipMessage.ts';
 
-/** What a member wants done; each `read`, `write` and `read_hosts` is answered by one input. */
+/** Actions that a member requests; `read`, `write` and `read_hosts` each get one input back. */
 export type MemberEffect =
   | {
       readonly type: 'ask';
--- a/packages/group/src/membership/MemberInput.ts
+++ b/packages/group/src/membership/MemberInput.ts
@@ -3,33 +3,33 @@
 import type { MemberIdentity } from './MemberIdentity.ts';
 import type { Hello, Welcome } from './MembershipMessage.ts';
 
-/** What a read of the group's object gave. */
+/** Result of reading the group's stored record. */
 export type ReadOutcome =
   | { readonly type: 'found'; readonly record: GroupRecord; readonly version: number }
   | { readonly type: 'absent' }
   | { readonly type: 'failed' };
 
-/** What a conditional write gave; after `unknown` it may have taken effect or may do so later. */
+/** Result of a conditional write; after `unknown` it may have taken effect or may still do so. */
 export type WriteOutcome =
   | { readonly type: 'written'; readonly version: number }
   | { readonly type: 'conflict' }
   | { readonly type: 'unknown' };
 
-/** One host of the platform's list. */
+/** An entry of the platform's host list. */
 export interface ListedHost {
   readonly id: HostId;
   readonly peerAddress: string;
   readonly state: 'live' | 'leaving';
 }
 
-/** Everything that can happen to a member. */
+/** Events that a member handles. */
 export type MemberInput =
   | { readonly type: 'tick' }
   | { readonly type: 'asked'; readonly message: Hello }
   | {
       readonly type: 'answered';
       readonly to: MemberIdentity;
-      /** The asker's own time when it asked, as the effect gave it. */
+      /** When the hello was sent, on the sender's clock, as in its `ask` effect. */
       readonly sentAt: Millis;
       readonly message: Welcome;
     }
--- a/packages/group/src/membership/MemberState.ts
+++ b/packages/group/src/membership/MemberState.ts
@@ -3,25 +3,25 @@
 import { memberKey, type MemberIdentity, type MemberKey } from './MemberIdentity.ts';
 import type { MemberIntent } from './MembershipMessage.ts';
 
-/** What a member knows of one incarnation of another host. */
+/** State that a member keeps of one incarnation of another host. */
 export interface PeerKnowledge {
   readonly identity: MemberIdentity;
-  /** Since when it is known; a newcomer is not silent before it could answer. */
+  /** When it became known; a new peer does not time out before it can answer. */
   readonly since: Millis;
-  /** Newest epoch that it said it knows: it vouches for none before that. */
+  /** Newest epoch that it has reported; it vouches for no earlier one. */
   readonly epoch: number;
   readonly intent: MemberIntent;
-  /** When the last hello that it answered was sent, on the asker's clock. */
+  /** When the last hello that it answered was sent, on this host's clock. */
   readonly answeredAt?: Millis;
-  /** When a hello of its own last arrived. */
+  /** When its last hello was received. */
   readonly heardAt?: Millis;
-  /** When the last hello was sent for which it vouched, and for which epoch. */
+  /** Its last vouch: the epoch, and when the hello that it answered was sent. */
   readonly vouch?: { readonly epoch: number; readonly sentAt: Millis };
-  /** Whom it calls silent. */
+  /** Members that it considers timed out. */
   readonly silent: readonly MemberKey[];
 }
 
-/** A call to the platform that has no answer yet. */
+/** A call to the platform in flight. */
 export type PendingCall =
   | { readonly type: 'read'; readonly id: number; readonly sentAt: Millis }
   | {
@@ -31,45 +31,46 @@
       readonly record: GroupRecord;
     };
 
-/** Everything that a member keeps; a plain value, so that a search can fork it. */
+/** State of a member; an immutable value, so that the model checker can branch from it. */
 export interface MemberState {
   readonly group: string;
   readonly self: MemberIdentity;
   readonly intent: MemberIntent;
-  /** The newest record known; it never goes back to a lower epoch. */
+  /** The newest record known; its epoch never decreases. */
   readonly record?: GroupRecord;
   /** When the epoch, or an earlier one, was last known to be the newest. */
   readonly confirmedAt?: Millis;
-  /** Since when a majority of the epoch before is known to vouch for it no more. */
+  /** When a majority of the previous epoch was first known to have stopped vouching for it. */
   readonly quorumAt?: Millis;
   readonly peers: Readonly<Record<MemberKey, PeerKnowledge>>;
   /** Incarnations that will never act or vouch again. */
   readonly ended: readonly MemberKey[];
-  /** Members that the platform's host list has shown. */
+  /** Members that have appeared in the platform's host list. */
   readonly listed: readonly MemberKey[];
-  /** Members that the list says are leaving. */
+  /** Members that the host list shows as leaving. */
   readonly leavingByList: readonly MemberKey[];
-  /** Since when the host list misses a member that it once showed. */
+  /** When a member that was once listed was first found missing from the host list. */
   readonly absentSince: Readonly<Record<MemberKey, Millis>>;
   readonly pending?: PendingCall;
   readonly nextCallId: number;
   readonly nextHelloAt: Millis;
-  /** When the group's object was last asked for, and how many reads have failed since one came. */
+  /** When the last read of the group's record was sent. */
   readonly lastReadAt?: Millis;
+  /** Consecutive failed calls to the platform. */
   readonly failedReads: number;
   readonly lastHostsAt?: Millis;
   readonly lastTickAt: Millis;
-  /** Since when the members differ from the wanted ones. */
+  /** When the members first differed from the wanted ones. */
   readonly wantSince?: Millis;
 }
 
 /**
- * Gets the state of a host that has just started and knows nothing.
+ * Creates the state of a host that has just started.
  *
  * @param group - The group it belongs to.
  * @param self - The host.
- * @param now - Its time.
- * @returns The state.
+ * @param now - Time on its clock.
+ * @returns The initial state.
  */
 export function initialState(group: string, self: MemberIdentity, now: Millis): MemberState {
   return {
@@ -88,12 +89,12 @@
   };
 }
 
-/** Tells whether an incarnation is known never to act or vouch again. */
+/** Tells whether an incarnation is known to have ended: it will never act or vouch again. */
 export function hasEnded(state: MemberState, member: MemberIdentity): boolean {
   return state.ended.includes(memberKey(member));
 }
 
-/** Gets the newest epoch that an incarnation is known to know; the member's own for itself. */
+/** Gets the newest epoch that an incarnation has reported; this host's own epoch for itself. */
 export function knownEpochOf(state: MemberState, member: MemberIdentity): number {
   const key = memberKey(member);
   if (key === memberKey(state.self)) return state.record?.epoch ?? 0;
--- a/packages/group/src/membership/MembershipMessage.ts
+++ b/packages/group/src/membership/MembershipMessage.ts
@@ -2,31 +2,31 @@
 import type { MemberIdentity, MemberKey } from './MemberIdentity.ts';
 
 /**
- * What a host means to do. `leave` is a promise: this incarnation neither acts nor vouches again.
+ * What a host intends to do; after `leave`, this incarnation neither acts nor vouches ever again.
  */
 export type MemberIntent = 'stay' | 'drain' | 'leave';
 
-/** Asks a peer to vouch for the sender's epoch; a host outside asks with it to be let in. */
+/** Heartbeat: asks a peer to vouch for the sender's epoch, or to let a host outside join. */
 export interface Hello {
   readonly type: 'hello';
   readonly group: string;
   readonly from: MemberIdentity;
-  /** The newest epoch that the sender knows; 0 where it knows none. */
+  /** The newest epoch that the sender knows; 0 for none. */
   readonly epoch: number;
   readonly intent: MemberIntent;
 }
 
-/** Answers a {@link Hello}; it vouches for its sender's epoch where both epochs are equal. */
+/** Reply to a {@link Hello}; it vouches for the epoch if both hosts know the same one. */
 export interface Welcome {
   readonly type: 'welcome';
   readonly from: MemberIdentity;
   readonly epoch: number;
   readonly intent: MemberIntent;
-  /** Members from whom the sender has had no answer for long. */
+  /** Members that the sender considers timed out. */
   readonly silent: readonly MemberKey[];
-  /** The sender's record, where it is newer than the asker's. */
+  /** The sender's record, if it is newer than that of the receiver. */
   readonly record?: GroupRecord;
 }
 
-/** Everything that members say to each other about membership. */
+/** Messages of the membership protocol. */
 export type MembershipMessage = Hello | Welcome;
--- a/packages/group/src/membership/MembershipSettings.ts
+++ b/packages/group/src/membership/MembershipSettings.ts
@@ -1,40 +1,40 @@
 import type { Millis } from '@camphorvane/core';
 
-/** How a group keeps its membership; the same for all hosts of a group. */
+/** Settings of the membership protocol; the same for all hosts of a group. */
 export interface MembershipSettings {
-  /** How long a member may act after its epoch was confirmed (the T of the design notes). */
+  /** How long a member may act after its epoch was confirmed, like the term of a lease (T). */
   readonly actForMs: Millis;
-  /** Clocks of two hosts run at rates that differ from true time by at most this factor less 1. */
+  /** Largest relative deviation of a host's clock rate from true time, such as 0.01. */
   readonly driftBound: number;
-  /** How often a member greets each other member. */
+  /** Heartbeat interval to each other member. */
   readonly vouchPeriodMs: Millis;
-  /** After how long without an answer a member counts as silent. */
+  /** Timeout without an answer after which a member is suspected to have failed. */
   readonly suspectMs: Millis;
-  /** How often a member reads the group's object while all is well. */
+  /** Interval between reads of the group's record in normal operation. */
   readonly platformReadMs: Millis;
-  /** How often it reads the object while its permission to act runs out. */
+  /** Base interval between reads when the permission to act is expiring or a write is due. */
   readonly urgentReadMs: Millis;
-  /** How often a member reads the host list while all is well. */
+  /** Interval between reads of the host list in normal operation. */
   readonly hostListMs: Millis;
-  /** How often it reads the host list while somebody is silent or not yet listed. */
+  /** Interval between reads of the host list while a member is timed out or not yet listed. */
   readonly urgentHostListMs: Millis;
-  /** How long the host list must miss a host before it counts as gone; above the list's lag. */
+  /** How long a host must be missing from the host list to count as gone; longer than its lag. */
   readonly goneAfterMs: Millis;
-  /** Wait before the next live member tries the write that the one before it did not make. */
+  /** Delay, per rank among the live members, before a member attempts a write that is due. */
   readonly staggerMs: Millis;
-  /** Most members of a group; further hosts wait outside. */
+  /** Most members of a group; further hosts wait to join. */
   readonly maxMembers: number;
-  /** A host's own number in [0, 1), which spreads the hosts' calls to the platform over time. */
+  /** Per-host number in [0, 1) that spreads the hosts' calls to the platform over time. */
   readonly jitter: number;
 }
 
 /**
- * Settings for hosts about a millisecond apart.
+ * Settings for hosts with a latency of about 1 ms between them.
  *
- * Four rounds of greetings fit into `actForMs`, so that two lost rounds stop nobody. Silence is
- * noticed after three rounds; together with the wait a crash costs about four seconds of a key.
- * Shorter periods would cost messages in proportion, and a pause of the process, such as a long
- * collection of garbage, would count as a crash.
+ * Four heartbeats fit into `actForMs`, so that two lost ones stop no member. A timeout takes three
+ * heartbeats; with the takeover wait, a key has no coordinator for about 4 s after a crash. Shorter
+ * intervals would cost proportionally more messages, and a long garbage collection pause would
+ * count as a crash.
  */
 export const DEFAULT_MEMBERSHIP: MembershipSettings = {
   actForMs: 2_000,
@@ -52,22 +52,22 @@
 };
 
 /**
- * The rules that safety rests on, apart from the code that applies them: the model checker
- * replaces one at a time and must then find a violation.
+ * The safety rules, separate from the code that applies them: the model checker replaces one at a
+ * time and must then find a violation.
  */
 export interface MembershipRules {
-  /** Gets how many of so many members make a decision. */
+  /** Gets the quorum size for a number of members. */
   quorum(members: number): number;
-  /** Gets how long a new epoch waits before it takes anything over from members unheard of. */
+  /** Gets how long a new epoch waits before it takes over from unreachable members. */
   takeoverWait(settings: MembershipSettings): Millis;
-  /** Whether an epoch may be written only once a majority of the last but one has ended it. */
+  /** Whether epoch n + 1 waits until a majority of epoch n - 1 has stopped vouching for it. */
   readonly chained: boolean;
 }
 
-/** The rules that hosts run by. */
+/** The rules that hosts use. */
 export const MEMBERSHIP_RULES: MembershipRules = {
   quorum: (members) => (members === 0 ? 0 : Math.floor(members / 2) + 1),
-  // The slowest clock stretches T by the factor 1 + d, and the fastest one shrinks the wait by it.
+  // The slowest clock stretches T by the factor 1 + d, and the fastest one shortens the wait by it.
   takeoverWait: (settings) => settings.actForMs * (1 + settings.driftBound) ** 2,
   chained: true,
 };
--- a/packages/group/src/membership/authority.ts
+++ b/packages/group/src/membership/authority.ts
@@ -11,12 +11,12 @@
 }
 
 /**
- * Gets until when a member may act as such.
+ * Gets the expiry of a member's permission to act.
  *
- * A host that is cut off or paused must stop by itself, since nobody can tell it: it has nothing
- * but its own clock. Others wait for this span before they take over what it held.
+ * A partitioned or paused host cannot be told to stop and must do so by its own clock; other hosts
+ * wait at least as long before they take over from it.
  *
- * @returns A time of the member's clock, or undefined where it may not act at all.
+ * @returns A time on the member's clock, or undefined if it may not act at all.
  */
 export function actUntil(state: MemberState, settings: MembershipSettings): Millis | undefined {
   if (state.intent === 'leave' || !isMember(state)) return undefined;
@@ -30,10 +30,10 @@
 }
 
 /**
- * Works out the latest time at which a majority, the member itself included, vouched.
+ * Gets the latest time as of which a majority, including the member itself, has vouched.
  *
- * The k-th latest sending time is the one that counts: the majority as a whole is only as fresh as
- * its oldest vouch.
+ * For a quorum of k this is the k-th latest send time, as a majority is only as fresh as its oldest
+ * vouch.
  */
 function majorityVouchedAt(
   state: MemberState,
@@ -51,19 +51,19 @@
   return times.sort((a, b) => b - a)[rules.quorum(record.members.length) - 1];
 }
 
-/** Takes a time at which the epoch was known to be the newest. */
+/** Records a time at which the epoch was confirmed to be the newest. */
 export function withConfirmation(state: MemberState, at: Millis): MemberState {
   return { ...state, confirmedAt: Math.max(at, state.confirmedAt ?? at) };
 }
 
-/** Takes the vouches of the majority into account. */
+/** Renews the confirmation from the vouches of a majority. */
 export function withVouches(state: MemberState, rules: MembershipRules, now: Millis): MemberState {
   if (!isMember(state) || state.intent === 'leave') return state;
   const at = majorityVouchedAt(state, rules, now);
   return at === undefined ? state : withConfirmation(state, at);
 }
 
-/** Tells whether a majority of an earlier epoch is known to vouch for it no more. */
+/** Tells whether a majority of an earlier epoch is known to have stopped vouching for it. */
 function isClosed(state: MemberState, past: PastEpoch, rules: MembershipRules): boolean {
   const closed = past.members.filter(
     (member) => member.ended || hasEnded(state, member) || knownEpochOf(state, member) > past.epoch,
@@ -72,9 +72,10 @@
 }
 
 /**
- * Notes when a majority of the epoch before is first known to vouch for it no more.
+ * Records when a majority of the previous epoch is first known to have stopped vouching for it.
  *
- * From then on no member of that epoch gets a new confirmation, and those it has run out by T.
+ * From then on no member of that epoch gets a new confirmation, and earlier ones expire within T
+ * (`actForMs`).
  */
 export function withClosing(state: MemberState, rules: MembershipRules, now: Millis): MemberState {
   if (state.record === undefined || state.quorumAt !== undefined) return state;
@@ -84,10 +85,10 @@
 }
 
 /**
- * Gets from when on nobody acts under any earlier epoch.
+ * Gets the time after which no member acts under any earlier epoch.
  *
- * @returns A time of the member's clock, or undefined while no majority of the epoch before has
- *   been heard of.
+ * @returns A time on the member's clock, or undefined while no majority of the previous epoch is
+ *   known to have ended it.
  */
 export function settledAt(
   state: MemberState,
@@ -99,7 +100,7 @@
   return state.quorumAt + rules.takeoverWait(settings);
 }
 
-/** Tells whether nobody acts under any earlier epoch. */
+/** Tells whether no member acts under any earlier epoch any more. */
 export function isSettled(
   state: MemberState,
   settings: MembershipSettings,
@@ -110,20 +111,20 @@
   return at !== undefined && now >= at;
 }
 
-/** Tells whether the steward that a key had under an earlier epoch is known to have stopped. */
-function handedOver(state: MemberState, key: string, past: PastEpoch): boolean {
-  const steward = stewardAmong(key, past.members);
-  if (steward === undefined || memberKey(steward) === memberKey(state.self)) return true;
-  if (steward.ended || hasEnded(state, steward)) return true;
-  return knownEpochOf(state, steward) > past.epoch;
+/** Tells whether a key's coordinator of an earlier epoch is known to have stopped. */
+function hasHandedOver(state: MemberState, key: string, past: PastEpoch): boolean {
+  const coordinator = stewardAmong(key, past.members);
+  if (coordinator === undefined || memberKey(coordinator) === memberKey(state.self)) return true;
+  if (coordinator.ended || hasEnded(state, coordinator)) return true;
+  return knownEpochOf(state, coordinator) > past.epoch;
 }
 
 /**
- * Tells whether this member may act as a key's steward now.
+ * Tells whether this member may now act as the coordinator of a key.
  *
- * Made for the moment after a host crashed: two stewards of one team would grant its rate twice. So
- * a new steward starts only when each earlier one of the key has said that it knows a later epoch,
- * or when the wait is over after which even a host unheard of has stopped by its own clock.
+ * Two coordinators of one team would grant its rate twice. After a crash, a new coordinator thus
+ * starts only once each earlier one of the key has reported a later epoch or has ended, or after
+ * the wait in which even an unreachable host has stopped by its own clock.
  */
 export function maySteward(
   state: MemberState,
@@ -134,8 +135,8 @@
 ): boolean {
   const { record } = state;
   if (record === undefined || !mayAct(state, settings, now)) return false;
-  const steward = stewardAmong(key, record.members);
-  if (steward === undefined || memberKey(steward) !== memberKey(state.self)) return false;
+  const coordinator = stewardAmong(key, record.members);
+  if (coordinator === undefined || memberKey(coordinator) !== memberKey(state.self)) return false;
   if (isSettled(state, settings, rules, now)) return true;
-  return record.lineage.every((past) => handedOver(state, key, past));
+  return record.lineage.every((past) => hasHandedOver(state, key, past));
 }
--- a/packages/group/src/membership/knowledge.ts
+++ b/packages/group/src/membership/knowledge.ts
@@ -8,21 +8,21 @@
 
 const INTENT_ORDER: readonly MemberIntent[] = ['stay', 'drain', 'leave'];
 
-/** An incarnation never takes an intent back, so a delayed message must not undo a later one. */
+/** Intents are never withdrawn, so a delayed message must not undo a later one. */
 function laterIntent(a: MemberIntent, b: MemberIntent): MemberIntent {
   return INTENT_ORDER.indexOf(a) >= INTENT_ORDER.indexOf(b) ? a : b;
 }
 
-function with1(list: readonly MemberKey[], key: MemberKey): readonly MemberKey[] {
+function withKey(list: readonly MemberKey[], key: MemberKey): readonly MemberKey[] {
   return list.includes(key) ? list : [...list, key].sort();
 }
 
-/** Notes that an incarnation will never act or vouch again. */
+/** Records that an incarnation will never act or vouch again. */
 export function withEnded(state: MemberState, member: MemberIdentity): MemberState {
-  return { ...state, ended: with1(state.ended, memberKey(member)) };
+  return { ...state, ended: withKey(state.ended, memberKey(member)) };
 }
 
-function peerOf(state: MemberState, identity: MemberIdentity, now: Millis): PeerKnowledge {
+function getOrCreatePeer(state: MemberState, identity: MemberIdentity, now: Millis): PeerKnowledge {
   const known = state.peers[memberKey(identity)];
   return known ?? { identity, since: now, epoch: 0, intent: 'stay', silent: [] };
 }
@@ -33,9 +33,9 @@
   return peer.intent === 'leave' ? withEnded(next, peer.identity) : next;
 }
 
-/** Takes in what a hello says of its sender. */
+/** Applies a hello to the state of its sender. */
 export function withHello(state: MemberState, hello: Hello, now: Millis): MemberState {
-  const peer = peerOf(state, hello.from, now);
+  const peer = getOrCreatePeer(state, hello.from, now);
   return withPeer(state, {
     ...peer,
     epoch: Math.max(peer.epoch, hello.epoch),
@@ -44,15 +44,15 @@
   });
 }
 
-/** Takes in what an answer says of its sender, a vouch included. */
+/** Applies a reply, which may contain a vouch, to the state of its sender. */
 export function withWelcome(
   state: MemberState,
   welcome: Welcome,
   sentAt: Millis,
   now: Millis,
 ): MemberState {
-  const peer = peerOf(state, welcome.from, now);
-  const vouches = welcome.epoch === state.record?.epoch && welcome.intent !== 'leave';
+  const peer = getOrCreatePeer(state, welcome.from, now);
+  const isVouch = welcome.epoch === state.record?.epoch && welcome.intent !== 'leave';
   const earlier = peer.vouch?.epoch === welcome.epoch ? peer.vouch.sentAt : sentAt;
   const vouch = { epoch: welcome.epoch, sentAt: Math.max(sentAt, earlier) };
   return withPeer(state, {
@@ -60,17 +60,17 @@
     epoch: Math.max(peer.epoch, welcome.epoch),
     intent: laterIntent(peer.intent, welcome.intent),
     answeredAt: Math.max(sentAt, peer.answeredAt ?? sentAt),
-    vouch: vouches ? vouch : peer.vouch,
+    vouch: isVouch ? vouch : peer.vouch,
     silent: welcome.silent,
   });
 }
 
 /**
- * Notes that the asked incarnation has ended, where another start of its host answered instead.
+ * Records that an incarnation has ended if another incarnation of its host answered in its place.
  *
- * The asked one was known before the question was sent and the other answered after it, and a port
- * is held by one process at a time, so the asked one ended first. Without this, a group of which a
- * majority restarted in place would wait for incarnations that can never answer.
+ * The asked one was known before the hello was sent, and only one process can bind the port, so it
+ * must have ended. Without this, a group of which a majority restarted in place would wait for
+ * incarnations that can never answer.
  */
 export function withReplacement(
   state: MemberState,
@@ -84,13 +84,13 @@
   return replaced ? withEnded(state, asked) : state;
 }
 
-/** Gets everybody whom a record names, in its own epoch or an earlier one. */
-function namedIn(record: GroupRecord): readonly MemberIdentity[] {
+/** Gets all incarnations in a record, of its own epoch and of earlier ones. */
+function getAllMembers(record: GroupRecord): readonly MemberIdentity[] {
   return [...record.members, ...record.lineage.flatMap((past) => past.members)];
 }
 
-function keepNamed(state: MemberState, record: GroupRecord, now: Millis): MemberState {
-  const named = new Set(namedIn(record).map(memberKey));
+function retainMembersOf(state: MemberState, record: GroupRecord, now: Millis): MemberState {
+  const named = new Set(getAllMembers(record).map(memberKey));
   const isKept = (key: MemberKey): boolean => named.has(key);
   const peers = Object.entries(state.peers).filter(
     ([key, peer]) => isKept(key) || peer.heardAt === now || peer.answeredAt !== undefined,
@@ -106,33 +106,36 @@
   };
 }
 
-/** Notes incarnations of this very host and port that ran before this one. */
+/** Records earlier incarnations of this host and port as ended. */
 function withPredecessors(state: MemberState, record: GroupRecord): MemberState {
-  return namedIn(record).reduce((at, member) => withReplacement(at, member, at.self), state);
+  return getAllMembers(record).reduce((at, member) => withReplacement(at, member, at.self), state);
 }
 
 /**
- * Adopts a record where it is newer than the one known; a lower epoch never comes back.
+ * Adopts a record if its epoch is higher than the known one.
  *
- * @returns The state after, greeting all members at once if the record was adopted.
+ * @returns The next state; if the record was adopted, heartbeats to all members are due at once.
  */
 export function withRecord(state: MemberState, record: GroupRecord, now: Millis): MemberState {
   if (record.group !== state.group || record.epoch <= (state.record?.epoch ?? 0)) return state;
   const self = memberKey(state.self);
   const known = record.members
     .filter((member) => memberKey(member) !== self)
-    .reduce((at, member) => withPeer(at, peerOf(at, member, now)), keepNamed(state, record, now));
+    .reduce(
+      (at, member) => withPeer(at, getOrCreatePeer(at, member, now)),
+      retainMembersOf(state, record, now),
+    );
   const ended = record.lineage
     .flatMap((past) => past.members.filter((member) => member.ended))
     .reduce(withEnded, known);
   const listed = record.members
     .filter((member) => member.listed)
-    .reduce((list, member) => with1(list, memberKey(member)), ended.listed);
+    .reduce((list, member) => withKey(list, memberKey(member)), ended.listed);
   const next = { ...ended, listed, record, quorumAt: undefined, nextHelloAt: now };
   return withPredecessors(next, record);
 }
 
-/** Drops hosts outside the group that have stopped asking to be let in. */
+/** Drops hosts outside the group that have stopped asking to join. */
 export function withoutStrangers(
   state: MemberState,
   settings: MembershipSettings,
@@ -140,7 +143,7 @@
 ): MemberState {
   const { record } = state;
   if (record === undefined) return state;
-  const named = new Set(namedIn(record).map(memberKey));
+  const named = new Set(getAllMembers(record).map(memberKey));
   const kept = Object.entries(state.peers).filter(
     ([key, peer]) => named.has(key) || now - (peer.heardAt ?? peer.since) <= settings.suspectMs,
   );
@@ -148,7 +151,7 @@
   return { ...state, peers: Object.fromEntries(kept) };
 }
 
-function isShown(hosts: readonly ListedHost[], member: MemberIdentity): boolean {
+function isInHostList(hosts: readonly ListedHost[], member: MemberIdentity): boolean {
   return hosts.some((host) => host.id === member.host && host.peerAddress === member.peerAddress);
 }
 
@@ -165,9 +168,9 @@
   now: Millis,
 ): MemberState {
   const key = memberKey(member);
-  if (isShown(hosts, member)) {
+  if (isInHostList(hosts, member)) {
     const { [key]: dropped, ...absentSince } = state.absentSince;
-    return { ...state, absentSince, listed: with1(state.listed, key) };
+    return { ...state, absentSince, listed: withKey(state.listed, key) };
   }
   if (!state.listed.includes(key)) return state;
   const since = state.absentSince[key] ?? now;
@@ -177,12 +180,12 @@
 }
 
 /**
- * Takes in the platform's host list.
+ * Applies the platform's host list.
  *
- * The list lags and its copies may disagree, so that only a host which it once showed, and then
- * missed for longer than the lag, counts as gone. This is the one way out when every member of a
- * group was replaced at once: nobody is left to say that the old epoch is over. An empty list is
- * taken as a fault of the platform, since at least the reader runs.
+ * The list lags and its replicas may disagree, so a host counts as gone only if it was listed
+ * before and then missing for longer than the lag. When all members of a group are replaced at
+ * once, this is the only way to end the old epoch, as no member is left to report it. An empty list
+ * is treated as a platform fault, since at least the reader is running.
  */
 export function withHostList(
   state: MemberState,
@@ -193,11 +196,11 @@
   const { record } = state;
   if (record === undefined || hosts.length === 0) return state;
   const leaving = hosts.filter((host) => host.state === 'leaving');
-  const leavingByList = namedIn(record)
-    .filter((member) => isShown(leaving, member))
-    .reduce<readonly MemberKey[]>((list, member) => with1(list, memberKey(member)), []);
-  const strangers = Object.values(state.peers).map((peer) => peer.identity);
-  return [...namedIn(record), ...strangers]
+  const leavingByList = getAllMembers(record)
+    .filter((member) => isInHostList(leaving, member))
+    .reduce<readonly MemberKey[]>((list, member) => withKey(list, memberKey(member)), []);
+  const knownPeers = Object.values(state.peers).map((peer) => peer.identity);
+  return [...getAllMembers(record), ...knownPeers]
     .filter((member) => memberKey(member) !== memberKey(state.self))
     .concat(state.self)
     .reduce((at, member) => withListEntry(at, member, hosts, settings, now), {
@@ -207,23 +210,22 @@
 }
 
 /**
- * Starts counting silence anew after the member itself did not run for a while.
+ * Restarts the peers' timeouts after this process was paused.
  *
- * A paused process that wakes finds every peer silent, though the pause was its own; it must not
- * have them removed.
+ * To a process that was paused, every peer seems timed out; it must not have them removed.
  */
 export function withWaking(
   state: MemberState,
   settings: MembershipSettings,
   now: Millis,
 ): MemberState {
-  const slept = now - state.lastTickAt > settings.suspectMs / 2;
-  if (!slept) return { ...state, lastTickAt: now };
+  const wasPaused = now - state.lastTickAt > settings.suspectMs / 2;
+  if (!wasPaused) return { ...state, lastTickAt: now };
   const peers = Object.entries(state.peers).map(([key, peer]) => [key, { ...peer, since: now }]);
   return { ...state, lastTickAt: now, peers: Object.fromEntries(peers) };
 }
 
-/** Gets the members that have not answered for long. */
+/** Gets the members that are timed out. */
 export function silentMembers(
   state: MemberState,
   settings: MembershipSettings,
@@ -237,7 +239,7 @@
   });
 }
 
-/** Tells whether a member answered lately and is not known to have ended. */
+/** Tells whether a member has answered within the timeout and is not known to have ended. */
 export function isHeard(
   state: MemberState,
   member: MemberIdentity,
@@ -250,7 +252,7 @@
   return now - answeredAt <= settings.suspectMs;
 }
 
-/** Tells whether this member stands in a record. */
+/** Tells whether an incarnation is a member in a record. */
 export function isNamed(record: GroupRecord, member: MemberIdentity): boolean {
   return findMember(record.members, member) !== undefined;
 }
--- a/packages/group/src/membership/parseMessage.ts
+++ b/packages/group/src/membership/parseMessage.ts
@@ -32,25 +32,25 @@
   record: recordSchema.optional(),
 });
 
-function parsed<T>(schema: z.ZodType<T>, value: unknown): Result<T, string> {
+function parseWith<T>(schema: z.ZodType<T>, value: unknown): Result<T, string> {
   const res = schema.safeParse(value);
   return res.success ? ok(res.data) : err(z.prettifyError(res.error));
 }
 
 /**
- * Checks a greeting that came over the network.
+ * Validates a hello received over the network.
  *
- * During a replacement of the program, hosts of two versions greet each other. A message that one
- * of them misreads must not become part of its state, where it would be relied on later.
+ * During a rolling upgrade, hosts of two versions exchange messages; one that a host misreads must
+ * not become part of its state.
  *
- * @param value - What arrived.
- * @returns The greeting without unknown fields, or what is wrong with it.
+ * @param value - The received value.
+ * @returns The hello without unknown fields, or a description of the error.
  */
 export function parseHello(value: unknown): Result<Hello, string> {
-  return parsed(helloSchema, value);
+  return parseWith(helloSchema, value);
 }
 
-/** Checks an answer to a greeting; see {@link parseHello}. */
+/** Validates a reply to a hello; see {@link parseHello}. */
 export function parseWelcome(value: unknown): Result<Welcome, string> {
-  return parsed(welcomeSchema, value);
+  return parseWith(welcomeSchema, value);
 }
--- a/packages/group/src/membership/proposal.ts
+++ b/packages/group/src/membership/proposal.ts
@@ -6,19 +6,19 @@
 import type { MembershipRules, MembershipSettings } from './MembershipSettings.ts';
 import { hasEnded, type MemberState } from './MemberState.ts';
 
-/** Earlier epochs that a record may carry; more changes wait until some have settled. */
+/** Most earlier epochs in a record; further changes wait until some have settled. */
 const MAX_LINEAGE = 8;
 
-/** How many times the usual spacing a retry of a failed read may reach. */
+/** Largest back-off factor after failed reads. */
 const MAX_BACKOFF = 16;
 
 /**
- * Gets the members that a majority calls silent.
+ * Gets the members that a majority considers timed out.
  *
- * One member's word is not enough: a path that is broken only between two members would have the
- * first of them remove the second again and again.
+ * One report is not enough: if only the path between two members is broken, one of them would
+ * remove the other again and again.
  */
-function agreedSilent(
+function findTimedOutByMajority(
   state: MemberState,
   settings: MembershipSettings,
   rules: MembershipRules,
@@ -45,15 +45,15 @@
   return intent === 'drain';
 }
 
-function asListed(state: MemberState, member: MemberIdentity): RecordMember {
+function toRecordMember(state: MemberState, member: MemberIdentity): RecordMember {
   const { host, incarnation, peerAddress, callerAddress, zone } = member;
   const listed = state.listed.includes(memberKey(member));
   const draining = isDraining(state, member);
   return { host, incarnation, peerAddress, callerAddress, zone, draining, listed };
 }
 
-/** Gets the hosts outside that ask to be let in, the host itself included. */
-function applicants(
+/** Gets the hosts outside the group that ask to join, including this host. */
+function getApplicants(
   state: MemberState,
   settings: MembershipSettings,
   now: Millis,
@@ -76,10 +76,10 @@
 }
 
 /**
- * Gets the members that the group should have, as far as this host can tell.
+ * Gets the members that the group should have, as far as this host knows.
  *
- * A host that restarted is let in only once its earlier incarnation is out, because keys are
- * placed by host and two incarnations of one host would share a place.
+ * A restarted host joins only after its earlier incarnation is removed, because keys are placed by
+ * host id and both incarnations would coordinate the same keys.
  */
 export function wantedMembers(
   state: MemberState,
@@ -88,22 +88,22 @@
   now: Millis,
 ): readonly RecordMember[] {
   if (state.record === undefined) return [];
-  const silent = agreedSilent(state, settings, rules, now);
+  const silent = findTimedOutByMajority(state, settings, rules, now);
   const isLeaving = (member: MemberIdentity): boolean =>
     state.intent === 'leave' && memberKey(member) === memberKey(state.self);
   const staying = state.record.members.filter(
     (member) =>
       !hasEnded(state, member) && !silent.includes(memberKey(member)) && !isLeaving(member),
   );
-  return applicants(state, settings, now)
-    .reduce<readonly MemberIdentity[]>((members, one) => {
-      const isTaken = members.some((member) => member.host === one.host);
-      return isTaken || members.length >= settings.maxMembers ? members : [...members, one];
+  return getApplicants(state, settings, now)
+    .reduce<readonly MemberIdentity[]>((members, applicant) => {
+      const isTaken = members.some((member) => member.host === applicant.host);
+      return isTaken || members.length >= settings.maxMembers ? members : [...members, applicant];
     }, staying)
-    .map((member) => asListed(state, member));
+    .map((member) => toRecordMember(state, member));
 }
 
-function isSame(a: readonly RecordMember[], b: readonly RecordMember[]): boolean {
+function haveSameMembers(a: readonly RecordMember[], b: readonly RecordMember[]): boolean {
   return (
     a.length === b.length &&
     a.every((member, index) => {
@@ -118,7 +118,7 @@
   );
 }
 
-/** Notes since when the group's members differ from those it should have. */
+/** Records when the group's members first differed from those that it should have. */
 export function withWish(
   state: MemberState,
   settings: MembershipSettings,
@@ -126,18 +126,21 @@
   now: Millis,
 ): MemberState {
   if (state.record === undefined) return state;
-  const isFine = isSame(wantedMembers(state, settings, rules, now), state.record.members);
-  if (isFine === (state.wantSince === undefined)) return state;
-  return { ...state, wantSince: isFine ? undefined : now };
+  const isAsWanted = haveSameMembers(
+    wantedMembers(state, settings, rules, now),
+    state.record.members,
+  );
+  if (isAsWanted === (state.wantSince === undefined)) return state;
+  return { ...state, wantSince: isAsWanted ? undefined : now };
 }
 
 /**
  * Tells whether the next epoch may be written now.
  *
- * Two conditions. Safety: a majority of the epoch before this one knows this one, so that by
- * induction no epoch before this one can be confirmed any more, and the next record needs to speak
- * of few. Use: a majority of this epoch is in reach, since without it the next epoch would take
- * nothing over; a cut-off minority that still reaches the platform must not throw the others out.
+ * Safety: a majority of the previous epoch has stopped vouching for it, so that by induction no
+ * earlier epoch can be confirmed any more and the next record needs to list only a few. Liveness: a
+ * majority of the current epoch is reachable, without which the next epoch could not take over; a
+ * partitioned minority that still reaches the platform must not remove the others.
  */
 export function mayWrite(
   state: MemberState,
@@ -150,13 +153,13 @@
   if (rules.chained && state.quorumAt === undefined) return false;
   const lineage = nextLineage(state, record, settings, rules, now);
   if (lineage.length > MAX_LINEAGE) return false;
-  const inReach = record.members.filter(
+  const reachable = record.members.filter(
     (member) => hasEnded(state, member) || isHeard(state, member, settings, now),
   );
-  return inReach.length >= rules.quorum(record.members.length);
+  return reachable.length >= rules.quorum(record.members.length);
 }
 
-/** Gets this host's place among those who would write; the first one in reach goes first. */
+/** Gets this host's rank among the reachable members; the first one writes first. */
 function writerRank(state: MemberState, settings: MembershipSettings, now: Millis): number {
   const live = (state.record?.members ?? []).filter((member) => {
     const isSelf = memberKey(member) === memberKey(state.self);
@@ -166,7 +169,7 @@
   return rank < 0 ? live.length : rank;
 }
 
-/** Tells whether this host should now read the object in order to write the next epoch. */
+/** Tells whether this host should now read the record in order to write the next epoch. */
 export function isWriteDue(
   state: MemberState,
   settings: MembershipSettings,
@@ -175,8 +178,8 @@
 ): boolean {
   if (state.wantSince === undefined || !mayWrite(state, settings, rules, now)) return false;
   const rank = writerRank(state, settings, now);
-  const wait = rank === 0 ? 0 : (rank + settings.jitter) * settings.staggerMs;
-  return now >= state.wantSince + wait;
+  const delayMs = rank === 0 ? 0 : (rank + settings.jitter) * settings.staggerMs;
+  return now >= state.wantSince + delayMs;
 }
 
 function nextLineage(
@@ -197,7 +200,7 @@
   }));
 }
 
-/** Makes the record of the next epoch. */
+/** Creates the record of the next epoch. */
 export function nextRecord(
   state: MemberState,
   record: GroupRecord,
@@ -214,18 +217,18 @@
   };
 }
 
-/** Makes the first record of a group. */
+/** Creates the first record of a group. */
 export function firstRecord(state: MemberState): GroupRecord {
   return {
     group: state.group,
     epoch: 1,
-    members: [asListed(state, state.self)],
+    members: [toRecordMember(state, state.self)],
     lineage: [],
     nonce: `${memberKey(state.self)}#${state.nextCallId}`,
   };
 }
 
-/** Gets the time between failed reads: it doubles, so that an outage's end meets no burst. */
+/** Gets the exponential back-off between failed reads, which avoids a burst after an outage. */
 export function backoff(state: MemberState, settings: MembershipSettings): Millis {
   const factor = Math.min(MAX_BACKOFF, 2 ** state.failedReads);
   return settings.urgentReadMs * factor * (1 + settings.jitter / 2);
--- a/packages/group/src/membership/stewardAmong.ts
+++ b/packages/group/src/membership/stewardAmong.ts
@@ -1,29 +1,29 @@
 import { rendezvousFirst, type HostId } from '@camphorvane/core';
 import type { RecordMember } from './GroupRecord.ts';
 
-/** Placements remembered at most; hashing a key onto nine hosts costs more than the rest of a check. */
-const MAX_REMEMBERED = 8_192;
+/** Most cached placements; hashing a key onto nine hosts costs more than the rest of a check. */
+const MAX_CACHED = 8_192;
 
-const remembered = new Map<string, HostId | undefined>();
+const cachedHosts = new Map<string, HostId | undefined>();
 
-function placed(key: string, hosts: readonly HostId[]): HostId | undefined {
-  const name = `${key}\u0000${hosts.join('\u0000')}`;
-  if (remembered.has(name)) return remembered.get(name);
-  if (remembered.size >= MAX_REMEMBERED) remembered.clear();
+function hashToHost(key: string, hosts: readonly HostId[]): HostId | undefined {
+  const cacheKey = `${key}\u0000${hosts.join('\u0000')}`;
+  if (cachedHosts.has(cacheKey)) return cachedHosts.get(cacheKey);
+  if (cachedHosts.size >= MAX_CACHED) cachedHosts.clear();
   const host = rendezvousFirst(key, hosts);
-  remembered.set(name, host);
+  cachedHosts.set(cacheKey, host);
   return host;
 }
 
 /**
- * Gets the steward of a key among the members of one epoch.
+ * Chooses the coordinator of a key among the members of one epoch by rendezvous hashing.
  *
- * Draining members are passed over while there is anybody else, so that a leaving host hands its
- * stewardships on while it still runs.
+ * Draining members are skipped while there are others, so that a leaving host hands its keys over
+ * while it still runs.
  *
- * @param key - A team, a pool part or whatever else has one steward.
+ * @param key - A team, a pool part or any other key with a single coordinator.
  * @param members - All members of the epoch.
- * @returns The steward, or undefined in an empty group.
+ * @returns The coordinator, or undefined in an empty group.
  */
 export function stewardAmong<M extends RecordMember>(
   key: string,
@@ -31,7 +31,7 @@
 ): M | undefined {
   const staying = members.filter((member) => !member.draining);
   const candidates = staying.length > 0 ? staying : members;
-  const host = placed(
+  const host = hashToHost(
     key,
     candidates.map((member) => member.host),
   );
--- a/packages/group/tests/explore/membership.test.ts
+++ b/packages/group/tests/explore/membership.test.ts
@@ -19,20 +19,20 @@
   return searchAll(protocol, { depth, maxStates: MAX_STATES, stopAtFirst });
 }
 
-test('no single fault, followed for four steps, breaks a rule', () => {
+test('no single fault violates an invariant within four steps', () => {
   const found = search(MEMBERSHIP_RULES, 4, 1);
   assert.deepEqual(found.violations, []);
   assert.equal(found.truncated, false);
   assert.equal(found.depth, 4);
 });
 
-test('no pair of faults, followed for two steps, breaks a rule', () => {
+test('no pair of faults violates an invariant within two steps', () => {
   const found = search(MEMBERSHIP_RULES, 2, 2);
   assert.deepEqual(found.violations, []);
   assert.equal(found.truncated, false);
 });
 
-test('long random runs of single events break no rule', () => {
+test('long random runs of single events violate no invariant', () => {
   [2, 3, 4].forEach((hosts) => {
     const rules = MEMBERSHIP_RULES;
     const protocol = membershipProtocol({ hosts, rules, grain: 'events', faults: 20 });
@@ -42,7 +42,7 @@
 });
 
 Object.entries(MEMBERSHIP_MUTATIONS).forEach(([name, rules]) => {
-  test(`the search finds the broken rule ${name}`, () => {
+  test(`the search finds a violation with the mutation ${name}`, () => {
     const found = search(rules, 5, 1);
     assert.ok(found.violations.length > 0);
     assert.ok(found.violations.every((violation) => violation.trace.length <= 5));
--- a/packages/group/tests/membership/GroupMember.test.ts
+++ b/packages/group/tests/membership/GroupMember.test.ts
@@ -7,7 +7,7 @@
 const T = SETTINGS.actForMs;
 const W = MEMBERSHIP_RULES.takeoverWait(SETTINGS);
 
-/** Finds a key that moves between two lists of members as wanted. */
+/** Finds a key whose coordinator is `from` among the members before and `to` among those after. */
 function keyMoving(
   from: string,
   before: readonly string[],
@@ -23,9 +23,9 @@
   return key;
 }
 
-test('a confirmation counts from the sending of what a majority answered', () => {
-  // Answers can be under way for long. Counted from their arrival, they would let a host act while
-  // others have taken over what it holds.
+test('a confirmation counts from when the answered hellos of a majority were sent', () => {
+  // Answers can be delayed. Counted from their arrival, they would let a host act after others have
+  // taken over from it.
   const member = memberWith('a', recordOf(4, ['a', 'b', 'c', 'd', 'e']), 0);
   hear(member, welcomeOf('b', 4), 500, 2_000);
   assert.equal(member.view(2_000).actUntil, T);
@@ -40,16 +40,16 @@
   assert.equal(member.view(1_001).actUntil, T);
 });
 
-test('a delayed record of a lower epoch is not taken back', () => {
-  // A message that was held up somewhere brings an old list of members. Taken, it would make a
-  // removed host steward again.
+test('a delayed record of a lower epoch is not adopted', () => {
+  // A delayed message contains an old list of members. Adopting it would make a removed host a
+  // coordinator again.
   const member = memberWith('a', recordOf(4, ['a', 'b', 'c']), 0);
   const message = { ...welcomeOf('b', 3), record: recordOf(3, ['a', 'b', 'x']) };
   hear(member, message, 10, 20);
   assert.equal(member.view(20).epoch, 4);
 });
 
-test('a key moves at once when its earlier steward says that it knows the new epoch', () => {
+test('a key moves at once when its earlier coordinator reports the new epoch', () => {
   const before = ['a', 'b', 'c'];
   const after = ['a', 'b', 'c', 'd'];
   const key = keyMoving('b', before, 'd', after);
@@ -59,9 +59,9 @@
   assert.equal(member.maySteward(key, 2), true);
 });
 
-test('a key of a host unheard of moves only after the wait', () => {
-  // The earlier steward crashed, or is cut off and still acts. Until it must have stopped by its
-  // own clock, two hosts would grant the rate of one team.
+test('a key of an unreachable host moves only after the takeover wait', () => {
+  // The earlier coordinator has crashed, or is partitioned and still acts. Before it has stopped by
+  // its own clock, a takeover would let two hosts grant the rate of one team.
   const before = ['a', 'b', 'c'];
   const after = ['a', 'b'];
   const key = keyMoving('c', before, 'a', after);
@@ -73,9 +73,9 @@
   assert.equal(member.maySteward(key, W + 12), true);
 });
 
-test('no epoch follows before a majority of the last but one knows the last', () => {
-  // Two changes in a row replace most members, and the first hosts never hear of it. They would go
-  // on vouching for each other while hosts of the third epoch take over.
+test('the next epoch waits until a majority of the previous epoch knows the current one', () => {
+  // Two consecutive changes replace most members, and those of the first epoch do not learn of
+  // them. They would keep vouching for each other while hosts of the third epoch take over.
   const member = memberWith('a', recordOf(2, ['a', 'd', 'e'], [['a', 'b', 'c']]), 0);
   ['d', 'e'].forEach((host) => hear(member, welcomeOf(host, 2), 10, 12));
   member.step({ type: 'tick' }, 20);
@@ -99,7 +99,7 @@
   return effects.filter((effect) => effect.type === 'write').length;
 }
 
-test('a host that leaves neither acts nor vouches from that moment on', () => {
+test('a host neither acts nor vouches once it leaves', () => {
   const member = memberWith('a', recordOf(4, ['a', 'b', 'c']), 0);
   assert.equal(member.view(1).mayAct, true);
   member.step({ type: 'leave' }, 1);
@@ -110,7 +110,7 @@
   assert.equal(reply?.type === 'reply' && reply.message.intent, 'leave');
 });
 
-test('a record written by a newer program is read without its unknown fields', () => {
+test('unknown fields of a record from a newer version are dropped', () => {
   const record = recordOf(4, ['a', 'b'], [['a']]);
   const parsed = parseGroupRecord({ ...record, colour: 'blue' });
   assert.deepEqual(parsed.unwrapOr(undefined), record);
--- a/packages/group/tests/support/members.ts
+++ b/packages/group/tests/support/members.ts
@@ -11,7 +11,7 @@
 
 export const SETTINGS = DEFAULT_MEMBERSHIP;
 
-/** Makes the identity of a host's start. */
+/** Creates the identity of one incarnation of a host. */
 export function identity(host: string, incarnation = 'i1'): MemberIdentity {
   return {
     host,
@@ -30,7 +30,7 @@
   return { ...asMember(host), ended: false };
 }
 
-/** Makes a record; `lineage` lists the members of the epochs before it, oldest first. */
+/** Creates a record; `lineage` lists the members of the earlier epochs, oldest first. */
 export function recordOf(
   epoch: number,
   hosts: readonly string[],
@@ -48,12 +48,12 @@
   };
 }
 
-/** Makes an answer of a host. */
+/** Creates a host's reply to a hello. */
 export function welcomeOf(host: string, epoch: number, intent: MemberIntent = 'stay'): Welcome {
   return { type: 'welcome', from: identity(host), epoch, intent, silent: [] };
 }
 
-/** Starts a member that reads a record at a time. */
+/** Starts a member that reads a record at the time `now`. */
 export function memberWith(host: string, record: GroupRecord, now: number): GroupMember {
   const member = GroupMember.start('g0', identity(host), SETTINGS, now);
   member.step({ type: 'tick' }, now);
@@ -61,7 +61,7 @@
   return member;
 }
 
-/** Has a member hear a host's answer to a hello sent at a time. */
+/** Delivers a host's reply to a hello that the member sent at `sentAt`. */
 export function hear(member: GroupMember, welcome: Welcome, sentAt: number, now: number): void {
   member.step({ type: 'answered', to: welcome.from, sentAt, message: welcome }, now);
 }
