--- a/packages/group/src/explore/ExplorableProtocol.ts
+++ b/packages/group/src/explore/ExplorableProtocol.ts
@@ -1,25 +1,25 @@
 import type { Exploration } from './ExploredProtocol.ts';
 import type { RandomBounds, SearchBounds } from './search.ts';
 
-/** A protocol as the command line offers it. */
+/** A protocol that the command line can check. */
 export interface ExplorableProtocol {
   readonly name: string;
-  /** Names of the broken variants that the search must find a violation in. */
+  /** Names of the variants with a broken rule, in which a search must find a violation. */
   readonly mutations: readonly string[];
-  /** Hosts where the command line names none. */
+  /** Default number of hosts. */
   readonly defaultHosts: number;
-  /** Depth of the search of everything where the command line names none. */
+  /** Default depth of the exhaustive search. */
   readonly defaultDepth: number;
 
   /**
-   * Searches everything within bounds.
+   * Searches all states within bounds.
    *
-   * @param hosts - How many hosts take part.
-   * @param mutation - One of `mutations`, or undefined for the protocol as it runs.
-   * @param bounds - How far.
+   * @param hosts - Number of hosts.
+   * @param mutation - One of `mutations`, or undefined for the real protocol.
+   * @param bounds - Bounds of the search.
    */
   searchAll(hosts: number, mutation: string | undefined, bounds: SearchBounds): Exploration;
 
-  /** Walks at random; parameters as in `searchAll`. */
+  /** Runs random walks; parameters as in `searchAll`. */
   searchRandomly(hosts: number, mutation: string | undefined, bounds: RandomBounds): Exploration;
 }
--- a/packages/group/src/explore/ExploredProtocol.ts
+++ b/packages/group/src/explore/ExploredProtocol.ts
@@ -1,74 +1,74 @@
-/** A rule that every reachable state must keep. */
+/** A condition that holds in every reachable state. */
 export interface Invariant<State> {
-  /** A short name, such as `one steward`. */
+  /** A short name, such as `rate and burst`. */
   readonly name: string;
 
   /**
    * Checks one state.
    *
-   * @param state - The state reached.
-   * @returns What is wrong with it, or undefined where the rule holds.
+   * @param state - The state to check.
+   * @returns A description of the violation, or undefined if the invariant holds.
    */
   check(state: State): string | undefined;
 }
 
 /**
- * A protocol that the search can walk through: the code that runs in a host, together with a small
- * world of messages, clocks and faults around it. States are plain values and never change.
+ * A protocol for the model checker: the code that runs in a host, with a simulated environment of
+ * messages, clocks and faults. States are immutable.
  */
 export interface ExploredProtocol<State, Action> {
-  /** What the command line calls it. */
+  /** Name of the protocol on the command line. */
   readonly name: string;
 
-  /** Gets the states that a run may start in. */
+  /** Gets the initial states. */
   initial(): readonly State[];
 
   /**
-   * Gets what can happen next.
+   * Gets the actions enabled in a state.
    *
    * @param state - A state.
-   * @returns All actions possible in it, in an order that does not vary.
+   * @returns All enabled actions, in a deterministic order.
    */
   actions(state: State): readonly Action[];
 
   /**
-   * Lets one thing happen.
+   * Applies an action.
    *
-   * @param state - The state before; left as it is.
-   * @param action - One of the state's actions.
-   * @returns The state after.
+   * @param state - The present state, which is not modified.
+   * @param action - One of its enabled actions.
+   * @returns The next state.
    */
   apply(state: State, action: Action): State;
 
   /**
-   * Gets a text that is equal for two states only if they have the same future.
+   * Gets a key that two states share only if they have the same possible futures.
    *
-   * Times belong in it relative to the present, or no two states would ever be equal.
+   * Times in it are relative to the present; with absolute times no two states would be equal.
    */
   key(state: State): string;
 
-  /** Gets a line for a trace. */
+  /** Describes an action in one line of a trace. */
   describe(action: Action): string;
 
-  /** The rules to check. */
+  /** The invariants to check. */
   readonly invariants: readonly Invariant<State>[];
 }
 
-/** One broken rule with the way that led to it. */
+/** A violated invariant with the trace that led to it. */
 export interface Violation {
   readonly invariant: string;
   readonly message: string;
-  /** One line for each action, from an initial state to the broken one. */
+  /** One line per action, from an initial state to the violating one. */
   readonly trace: readonly string[];
 }
 
-/** What a search found. */
+/** Result of a search. */
 export interface Exploration {
   readonly statesVisited: number;
   readonly transitions: number;
   /** Depth to which every state was visited. */
   readonly depth: number;
-  /** True where a bound on states ended the search before its depth. */
+  /** Whether the bound on states ended the search before its depth. */
   readonly truncated: boolean;
   /** The first violation of each invariant. */
   readonly violations: readonly Violation[];
--- a/packages/group/src/explore/main.ts
+++ b/packages/group/src/explore/main.ts
@@ -18,7 +18,7 @@
 }
 
 function report(title: string, found: Exploration): number {
-  const end = found.truncated ? ' (bound on states reached, not exhausted)' : '';
+  const end = found.truncated ? ' (stopped at the bound on states)' : '';
   const counts = `${found.statesVisited} states, ${found.transitions} transitions`;
   print(`${title}: ${counts}, depth ${found.depth}${end}`);
   found.violations.forEach(printViolation);
@@ -28,25 +28,35 @@
 
 const args = await yargs(hideBin(process.argv))
   .scriptName('explore')
-  .usage('$0 [options]\n\nSearches the protocols between hosts for broken invariants.')
+  .usage('$0 [options]\n\nSearches the protocols between hosts for violated invariants.')
   .option('protocol', {
     choices: ['all', ...PROTOCOLS.map((protocol) => protocol.name)],
     default: 'all',
-    describe: 'what to search',
+    describe: 'protocol to search',
+  })
+  .option('depth', {
+    type: 'number',
+    describe: 'largest number of actions in a trace of the exhaustive search',
   })
-  .option('depth', { type: 'number', describe: 'most actions in a trace of the search of all' })
   .option('seed', { type: 'number', default: 1, describe: 'seed of the random runs' })
-  .option('hosts', { type: 'number', describe: 'how many hosts take part' })
-  .option('mutation', { type: 'string', describe: 'break one rule; must be found' })
+  .option('hosts', { type: 'number', describe: 'number of hosts' })
+  .option('mutation', {
+    type: 'string',
+    describe: 'break one safety rule; the search must find a violation',
+  })
   .option('max-states', {
     type: 'number',
     default: DEFAULT_MAX_STATES,
-    describe: 'bound on memory',
+    describe: 'largest number of states to visit, which bounds the memory',
+  })
+  .option('runs', { type: 'number', default: DEFAULT_RUNS, describe: 'number of random runs' })
+  .option('length', {
+    type: 'number',
+    default: DEFAULT_RUN_LENGTH,
+    describe: 'number of actions in a random run',
   })
-  .option('runs', { type: 'number', default: DEFAULT_RUNS, describe: 'random runs' })
-  .option('length', { type: 'number', default: DEFAULT_RUN_LENGTH, describe: 'steps of a run' })
-  .example('$0 --depth 8 --seed 1', 'search every protocol as it runs')
-  .example('$0 --protocol membership --mutation no-wait', 'search a broken variant')
+  .example('$0 --depth 8 --seed 1', 'search all protocols')
+  .example('$0 --protocol membership --mutation no-wait', 'search a variant with a broken rule')
   .strict()
   .parse();
 
@@ -68,8 +78,12 @@
   args.mutation !== undefined &&
   !chosen.some(({ mutations }) => mutations.includes(args.mutation ?? ''));
 if (unknown) {
-  const known = chosen.flatMap(({ name, mutations }) => mutations.map((one) => `${name}: ${one}`));
-  process.stderr.write(`no mutation ${args.mutation}; there are\n${known.join('\n')}\n`);
+  const known = chosen.flatMap(({ name, mutations }) =>
+    mutations.map((item) => `${name}: ${item}`),
+  );
+  process.stderr.write(
+    `unknown mutation ${args.mutation}; known mutations:\n${known.join('\n')}\n`,
+  );
   process.exitCode = 2;
 } else {
   const violations = chosen
--- a/packages/group/src/explore/membership/MembershipProtocol.ts
+++ b/packages/group/src/explore/membership/MembershipProtocol.ts
@@ -15,7 +15,7 @@
 import { FAST, identityAt, SLOW, type Flight, type World } from './World.ts';
 import { worldKey } from './worldKey.ts';
 
-/** What can happen in a searched world. */
+/** An action of the simulation. */
 export type WorldAction =
   | { readonly type: 'pass'; readonly ticks: number }
   | { readonly type: 'tick'; readonly place: number }
@@ -23,33 +23,33 @@
   | { readonly type: 'fault'; readonly fault: Fault }
   | { readonly type: 'repair'; readonly repair: Repair };
 
-/** How finely the search mixes events. */
+/** Granularity at which the search interleaves events. */
 export type Grain =
-  /** In each tick all hosts run in turn, and messages arrive at once unless a fault strikes. */
+  /** In each tick all hosts run in turn, and messages arrive at once unless a fault prevents it. */
   | 'rounds'
-  /** Each host, message, call and answer moves by itself. */
+  /** Each host, message, call and answer progresses independently. */
   | 'events';
 
-/** What to search. */
+/** Options of a search. */
 export interface MembershipSearch {
   readonly hosts: number;
   readonly rules: MembershipRules;
   readonly grain: Grain;
-  /** Faults that may strike in one trace. */
+  /** Largest number of faults in one trace. */
   readonly faults: number;
 }
 
-/** Ticks after which hosts that started together are one settled group. */
+/** Ticks after which hosts that started together have formGroup a stable group. */
 const FORMING_TICKS = 40;
 
-/** Ticks of a long wait, which takes a search of few steps past silence, takeover and recovery. */
+/** Ticks of a long wait, with which few steps cover timeout, takeover and recovery. */
 const LONG_WAIT = 5;
 
-/** Things on their way at once in a search by events; more are lost, oldest first. */
+/** Most flights at once in a search by events; beyond it the oldest messages are lost. */
 const MAX_FLIGHTS = 10;
 
-/** Drops the oldest messages above the bound; calls to the platform always get an answer. */
-function bounded(world: World): World {
+/** Drops the oldest messages above the bound; calls to the platform are never dropped. */
+function dropExcess(world: World): World {
   const excess = world.flights.length - MAX_FLIGHTS;
   if (excess <= 0) return world;
   const isMessage = (flight: Flight): boolean => ['hello', 'welcome'].includes(flight.type);
@@ -57,11 +57,11 @@
   return { ...world, flights: world.flights.filter((flight) => !dropped.has(flight)) };
 }
 
-function without(world: World, index: number): World {
+function withoutFlight(world: World, index: number): World {
   return { ...world, flights: world.flights.filter((_, at) => at !== index) };
 }
 
-/** Whether a trap strikes this flight. */
+/** Tells whether the present trap applies to a flight. */
 function isTrapped(world: World, flight: Flight): boolean {
   switch (world.trap) {
     case 'delay_write':
@@ -77,13 +77,13 @@
   }
 }
 
-/** Moves everything on its way, in order, until all is quiet; `held` flights stay. */
+/** Delivers all flights in order until none are left; `held` flights stay in flight. */
 function settle(start: World, held: readonly Flight[], rules: MembershipRules): World {
   let world = start;
   let kept = held;
   while (world.flights.length > 0) {
     const [flight] = world.flights as [Flight];
-    const rest = without(world, 0);
+    const rest = withoutFlight(world, 0);
     const failure = failureOf(flight);
     const failed = failure === undefined ? rest : deliver(rest, failure, rules);
     if (isTrapped(world, flight)) {
@@ -96,8 +96,12 @@
   return { ...world, flights: kept };
 }
 
-/** Applies something, then moves all that follows from it at once. */
-function settled(world: World, apply: (quiet: World) => World, rules: MembershipRules): World {
+/** Applies a change, then delivers all flights that result from it. */
+function applyAndSettle(
+  world: World,
+  apply: (quiet: World) => World,
+  rules: MembershipRules,
+): World {
   return settle(apply({ ...world, flights: [] }), world.flights, rules);
 }
 
@@ -105,17 +109,17 @@
   const later = { ...world, tick: world.tick + 1 };
   return later.hosts.reduce<World>((at, _, place) => {
     if (at.hosts[place]?.condition !== 'running') return at;
-    return settled(at, (quiet) => inputTo(quiet, place, { type: 'tick' }, rules), rules);
+    return applyAndSettle(at, (quiet) => inputTo(quiet, place, { type: 'tick' }, rules), rules);
   }, later);
 }
 
-/** Lets time pass tick by tick; it ends at a broken rule, so that a long wait hides none. */
-function passing(world: World, ticks: number, search: MembershipSearch): World {
+/** Advances time tick by tick; stops at a violation, so that a long wait does not hide it. */
+function passTicks(world: World, ticks: number, search: MembershipSearch): World {
   const after = withAloneness(pass(world, search.rules));
   const isBroken = membershipInvariants(search.hosts, search.rules).some(
     (invariant) => invariant.check(after) !== undefined,
   );
-  return ticks <= 1 || isBroken ? after : passing(after, ticks - 1, search);
+  return ticks <= 1 || isBroken ? after : passTicks(after, ticks - 1, search);
 }
 
 function coldStart(rates: readonly number[], faults: number): World {
@@ -131,8 +135,8 @@
 }
 
 /**
- * Gets the clocks to try: what matters is that the steward's clock is slow where the others are
- * fast, and the other way round. The first host also is the first to write.
+ * Gets the clock rates to try: the first host has a slow clock and the others fast ones, and the
+ * reverse, since safety depends on their difference. The first host also is the first to write.
  */
 function ratesFor(hosts: number): readonly (readonly number[])[] {
   const places = Array.from({ length: hosts }, (_, place) => place);
@@ -142,7 +146,7 @@
   ];
 }
 
-function formed(world: World): World {
+function formGroup(world: World): World {
   return Array.from({ length: FORMING_TICKS }).reduce<World>(
     (at) => pass(at, MEMBERSHIP_RULES),
     world,
@@ -151,7 +155,7 @@
 
 function initialWorlds(search: MembershipSearch): readonly World[] {
   const cold = ratesFor(search.hosts).map((rates) => coldStart(rates, search.faults));
-  return [...cold.map(formed), ...cold];
+  return [...cold.map(formGroup), ...cold];
 }
 
 function eventsIn(world: World): readonly WorldAction[] {
@@ -161,7 +165,7 @@
   const flights = world.flights.flatMap((flight, index): readonly WorldAction[] => {
     const arrive: readonly WorldAction[] = isPassable(world, flight)
       ? [
-          // Arriving is offered more often than being lost, or nothing would ever come about.
+          // Arrivals are weighted higher than losses, or random runs would make no progress.
           { type: 'arrive', flight: index },
           { type: 'arrive', flight: index },
           { type: 'arrive', flight: index },
@@ -183,7 +187,9 @@
       return [...waits, ...repairs, ...late, ...faults];
     }
     case 'events': {
-      const noTraps = faults.filter((one) => one.type !== 'fault' || one.fault.type !== 'trap');
+      const noTraps = faults.filter(
+        (action) => action.type !== 'fault' || action.fault.type !== 'trap',
+      );
       const strikes = world.tick % 8 === 0 ? noTraps : [];
       return [{ type: 'pass', ticks: 1 }, ...eventsIn(world), ...repairs, ...strikes];
     }
@@ -200,11 +206,11 @@
   const flight = world.flights[action.flight];
   if (flight === undefined) return world;
   const { rules } = search;
-  const rest = without(world, action.flight);
+  const rest = withoutFlight(world, action.flight);
   switch (action.type) {
     case 'arrive':
       return search.grain === 'rounds'
-        ? settled(rest, (quiet) => deliver(quiet, flight, rules), rules)
+        ? applyAndSettle(rest, (quiet) => deliver(quiet, flight, rules), rules)
         : deliver(rest, flight, rules);
     case 'duplicate':
       return deliver(world, flight, rules);
@@ -217,12 +223,12 @@
   }
 }
 
-function applied(world: World, action: WorldAction, search: MembershipSearch): World {
+function applyAction(world: World, action: WorldAction, search: MembershipSearch): World {
   const { rules, grain } = search;
   switch (action.type) {
     case 'pass':
       return grain === 'rounds'
-        ? passing(world, action.ticks, search)
+        ? passTicks(world, action.ticks, search)
         : { ...world, tick: world.tick + action.ticks };
     case 'tick':
       return inputTo(world, action.place, { type: 'tick' }, rules);
@@ -232,7 +238,7 @@
       return moveFlight(world, action, search);
     case 'fault':
       return grain === 'rounds'
-        ? settled(world, (quiet) => strike(quiet, action.fault, rules), rules)
+        ? applyAndSettle(world, (quiet) => strike(quiet, action.fault, rules), rules)
         : strike(world, action.fault, rules);
     case 'repair':
       return repair(world, action.repair);
@@ -261,10 +267,10 @@
 }
 
 /**
- * Makes the membership protocol searchable: the {@link GroupMember} that hosts run, in a world of
- * few hosts with clocks of different rates.
+ * Wraps the membership protocol for the model checker: the `GroupMember` that hosts run, in a
+ * simulation of a few hosts with clocks of different rates.
  *
- * @param search - Hosts, rules, grain and faults.
+ * @param search - Hosts, rules, granularity and faults.
  * @returns The protocol.
  */
 export function membershipProtocol(search: MembershipSearch): ExploredProtocol<World, WorldAction> {
@@ -273,8 +279,8 @@
     initial: () => initialWorlds(search),
     actions: (world) => actionsIn(world, search.grain),
     apply: (world, action) => {
-      const after = withAloneness(applied(world, action, search));
-      return search.grain === 'rounds' ? after : bounded(after);
+      const after = withAloneness(applyAction(world, action, search));
+      return search.grain === 'rounds' ? after : dropExcess(after);
     },
     key: worldKey,
     describe,
--- a/packages/group/src/explore/membership/World.ts
+++ b/packages/group/src/explore/membership/World.ts
@@ -7,23 +7,23 @@
 import type { MembershipSettings } from '../../membership/MembershipSettings.ts';
 import type { MemberState } from '../../membership/MemberState.ts';
 
-/** A host of the searched world. */
+/** A simulated host. */
 export interface WorldHost {
   readonly state: MemberState;
-  /** Units of its own clock that pass in one tick of true time. */
+  /** Milliseconds of its own clock per tick of true time. */
   readonly rate: number;
   readonly condition: 'running' | 'paused' | 'crashed';
-  /** Whether the platform's list shows it. */
+  /** Whether it is in the platform's host list. */
   readonly listed: boolean;
-  /** The highest epoch that this incarnation has known. */
+  /** Highest epoch that this incarnation has known. */
   readonly highestEpoch: number;
-  /** Since which tick it reaches neither a peer nor the platform. */
+  /** Tick since which it can reach neither a peer nor the platform. */
   readonly aloneSince?: number;
 }
 
 type Ask = Extract<MemberEffect, { type: 'ask' }>;
 
-/** Something on its way; `by` and `to` name the incarnation that it comes from or goes to. */
+/** A message or call in flight; `by` and `to` identify its sender and its receiver. */
 export type Flight =
   | { readonly type: 'hello'; readonly by: MemberKey; readonly ask: Ask }
   | {
@@ -60,17 +60,17 @@
       readonly hosts: readonly ListedHost[] | undefined;
     };
 
-/** A break of the network in two sides. */
+/** A network partition into two sides. */
 export interface Split {
-  /** Places of the hosts on the second side. */
+  /** Indexes of the hosts on the second side. */
   readonly second: readonly number[];
   readonly platformSide: 'first' | 'second';
 }
 
-/** A fault that strikes the next thing of its kind. */
+/** A fault of the next flight of its kind. */
 export type Trap = 'lose_write_answer' | 'delay_write' | 'delay_answer';
 
-/** Hosts, network and platform at one moment; a plain value. */
+/** Immutable state of the simulation: hosts, network and platform. */
 export interface World {
   readonly tick: number;
   readonly hosts: readonly WorldHost[];
@@ -80,20 +80,21 @@
   readonly split?: Split;
   readonly trap?: Trap;
   readonly flights: readonly Flight[];
-  /** How many faults may still strike. */
+  /** Number of faults that can still be injected. */
   readonly faultsLeft: number;
   /** The nonce under which each epoch was first stored. */
   readonly nonces: Readonly<Record<number, string>>;
 }
 
-/** Rates of clocks: one runs twice as fast as the other, far worse than real ones. */
+/** Clock rates; one clock is twice as fast as the other, far worse than real drift. */
 export const SLOW = 1;
 export const FAST = 2;
 
 /**
- * Settings on the scale of ticks: everything happens within a few of them, so that short traces
- * reach far. Silence is longer than two ticks of a fast clock, or each tick would look like a pause of
- * the host itself and nobody would ever be suspected. The bound on drift makes (1 + d) squared the ratio of the two rates.
+ * Settings of a few ticks each, so that short traces reach far. The timeout `suspectTimeoutMs` is
+ * longer than two ticks of a fast clock; otherwise each tick would look like a pause of the host
+ * itself and no peer would ever be suspected. With this drift bound, (1 + d) squared is the ratio
+ * of the two clock rates.
  */
 export const WORLD_SETTINGS: MembershipSettings = {
   actForMs: 10,
@@ -110,10 +111,10 @@
   jitter: 0,
 };
 
-/** Found once for each number of hosts, since every state is checked with them. */
+/** Keys by number of hosts; cached, since every state is checked with them. */
 const KEYS_BY_HOSTS = new Map<number, readonly string[]>();
 
-/** Gets the identity of a host's n-th start. */
+/** Gets the identity of a host's n-th incarnation. */
 export function identityAt(place: number, start: number): MemberIdentity {
   const host = `h${place + 1}`;
   return {
@@ -125,16 +126,16 @@
   };
 }
 
-/** Gets a host's own time. */
+/** Gets the time on a host's clock. */
 export function localTime(world: World, host: WorldHost): Millis {
   return world.tick * host.rate;
 }
 
 /**
- * Gets one key for each host, whose steward that host is while all are members.
+ * Gets one key for each host, which that host coordinates while all hosts are members.
  *
- * @param hosts - How many hosts there are.
- * @returns As many keys.
+ * @param hosts - Number of hosts.
+ * @returns One key per host.
  */
 export function keysFor(hosts: number): readonly string[] {
   const known = KEYS_BY_HOSTS.get(hosts);
--- a/packages/group/src/explore/membership/faults.ts
+++ b/packages/group/src/explore/membership/faults.ts
@@ -3,14 +3,14 @@
 import { inputTo, isAlone, withHost } from './transport.ts';
 import { identityAt, localTime, type Split, type Trap, type World } from './World.ts';
 
-/** What can strike a world from outside, and what ends it again. */
+/** A fault to inject into the simulation. */
 export type Fault =
   | { readonly type: 'crash' | 'pause' | 'drain' | 'leave'; readonly place: number }
   | { readonly type: 'split'; readonly split: Split }
   | { readonly type: 'platform_down' }
   | { readonly type: 'trap'; readonly trap: Trap };
 
-/** What mends a fault; it costs nothing. */
+/** A repair of a fault; repairs do not count against the number of faults. */
 export type Repair =
   | { readonly type: 'restart' | 'wake' | 'unlist'; readonly place: number }
   | { readonly type: 'heal' }
@@ -28,19 +28,19 @@
   ]);
 }
 
-/** Gets the faults that may strike now. */
+/** Gets the faults that can be injected now. */
 export function faultsIn(world: World): readonly Fault[] {
   if (world.faultsLeft === 0) return [];
   const onHosts = world.hosts.flatMap((host, place): readonly Fault[] => {
     if (host.condition !== 'running') return [];
     const { intent } = host.state;
-    const strikes: readonly Fault[] = [
+    const stops: readonly Fault[] = [
       { type: 'crash', place },
       { type: 'pause', place },
     ];
     const drain: readonly Fault[] = intent === 'stay' ? [{ type: 'drain', place }] : [];
     const leave: readonly Fault[] = intent === 'leave' ? [] : [{ type: 'leave', place }];
-    return [...strikes, ...drain, ...leave];
+    return [...stops, ...drain, ...leave];
   });
   const splits: readonly Fault[] =
     world.split === undefined
@@ -52,7 +52,7 @@
   return [...onHosts, ...splits, ...down, ...traps];
 }
 
-/** Gets the repairs that are possible now. */
+/** Gets the possible repairs. */
 export function repairsIn(world: World): readonly Repair[] {
   const onHosts = world.hosts.flatMap((host, place): readonly Repair[] => {
     if (host.condition === 'paused') return [{ type: 'wake', place }];
@@ -65,7 +65,7 @@
   return [...onHosts, ...heal, ...up];
 }
 
-function conditionally(
+function withCondition(
   world: World,
   place: number,
   condition: 'running' | 'paused' | 'crashed',
@@ -74,7 +74,7 @@
   return host === undefined ? world : withHost(world, place, { ...host, condition });
 }
 
-/** Notes since when each host reaches nobody. */
+/** Records since when each host has been isolated. */
 export function withAloneness(world: World): World {
   const hosts = world.hosts.map((host, place) => {
     const alone = isAlone(world, place);
@@ -83,14 +83,14 @@
   return { ...world, hosts };
 }
 
-/** Lets a fault strike. */
+/** Injects a fault. */
 export function strike(before: World, fault: Fault, rules: MembershipRules): World {
   const world = { ...before, faultsLeft: before.faultsLeft - 1 };
   switch (fault.type) {
     case 'crash':
-      return conditionally(world, fault.place, 'crashed');
+      return withCondition(world, fault.place, 'crashed');
     case 'pause':
-      return conditionally(world, fault.place, 'paused');
+      return withCondition(world, fault.place, 'paused');
     case 'drain':
     case 'leave':
       return inputTo(world, fault.place, { type: fault.type }, rules);
@@ -105,7 +105,7 @@
   }
 }
 
-function restarted(world: World, place: number): World {
+function restart(world: World, place: number): World {
   const host = world.hosts[place];
   if (host === undefined) return world;
   const start = Number(host.state.self.incarnation.slice(1)) + 1;
@@ -116,13 +116,13 @@
   return withHost(world, place, fresh);
 }
 
-/** Mends a fault. */
+/** Repairs a fault. */
 export function repair(world: World, mend: Repair): World {
   switch (mend.type) {
     case 'restart':
-      return restarted(world, mend.place);
+      return restart(world, mend.place);
     case 'wake':
-      return conditionally(world, mend.place, 'running');
+      return withCondition(world, mend.place, 'running');
     case 'unlist': {
       const host = world.hosts[mend.place];
       return host === undefined ? world : withHost(world, mend.place, { ...host, listed: false });
--- a/packages/group/src/explore/membership/index.ts
+++ b/packages/group/src/explore/membership/index.ts
@@ -6,25 +6,25 @@
 import { MEMBERSHIP_MUTATIONS } from './mutations.ts';
 
 /**
- * Faults in one trace of the search of everything, with how far it goes: single faults are followed
- * for twice the depth, and pairs for the depth asked for.
+ * Exhaustive searches, with the faults in a trace and a factor of the depth: single faults are
+ * followed to twice the given depth, pairs of faults to the given depth.
  */
 const EXHAUSTIVE = [
-  { faults: 1, stretch: 2 },
-  { faults: 2, stretch: 1 },
+  { faults: 1, depthFactor: 2 },
+  { faults: 2, depthFactor: 1 },
 ] as const;
 
-/** Faults in one random run, which is long enough to recover from each. */
+/** Faults in one random run, which is long enough to recover from each of them. */
 const RANDOM_FAULTS = 30;
 
 function rulesOf(mutation: string | undefined): MembershipRules {
   if (mutation === undefined) return MEMBERSHIP_RULES;
   const rules = MEMBERSHIP_MUTATIONS[mutation];
-  if (rules === undefined) throw new Error(`no mutation ${mutation}`);
+  if (rules === undefined) throw new Error(`unknown mutation ${mutation}`);
   return rules;
 }
 
-/** Membership as the command line offers it. */
+/** The membership protocol, for the command line. */
 export const EXPLORABLE_MEMBERSHIP: ExplorableProtocol = {
   name: 'membership',
   mutations: Object.keys(MEMBERSHIP_MUTATIONS),
@@ -33,10 +33,10 @@
   searchAll: (hosts, mutation, bounds) => {
     const rules = rulesOf(mutation);
     const grain = 'rounds';
-    return EXHAUSTIVE.reduce<Exploration>((before, { faults, stretch }) => {
-      const isOver = bounds.stopAtFirst && before.violations.length > 0;
-      if (isOver) return before;
-      const depth = bounds.depth * stretch;
+    return EXHAUSTIVE.reduce<Exploration>((before, { faults, depthFactor }) => {
+      const isDone = bounds.stopAtFirst && before.violations.length > 0;
+      if (isDone) return before;
+      const depth = bounds.depth * depthFactor;
       const protocol = membershipProtocol({ hosts, rules, grain, faults });
       return mergeExplorations(before, searchAll(protocol, { ...bounds, depth }));
     }, EMPTY_EXPLORATION);
--- a/packages/group/src/explore/membership/invariants.ts
+++ b/packages/group/src/explore/membership/invariants.ts
@@ -7,8 +7,8 @@
   return new GroupMember(host.state, WORLD_SETTINGS, rules);
 }
 
-/** Gets the hosts that would act as a key's steward if asked now; a paused one is not asked. */
-function stewards(world: World, key: string, rules: MembershipRules): readonly string[] {
+/** Gets the running hosts that would now act as the coordinator of a key. */
+function coordinatorsOf(world: World, key: string, rules: MembershipRules): readonly string[] {
   return world.hosts
     .filter((host) => host.condition === 'running')
     .filter((host) => memberOf(host, rules).maySteward(key, localTime(world, host)))
@@ -16,10 +16,10 @@
 }
 
 /**
- * Gets the rules that membership must keep.
+ * Gets the invariants of the membership protocol.
  *
- * @param hosts - How many hosts there are.
- * @param rules - The rules that the hosts run by, mutated or not.
+ * @param hosts - Number of hosts.
+ * @param rules - Safety rules of the hosts, possibly mutated.
  * @returns The invariants.
  */
 export function membershipInvariants(
@@ -29,43 +29,43 @@
   const keys = keysFor(hosts);
   return [
     {
-      name: 'a key has one steward',
+      name: 'a key has one coordinator',
       check: (world) => {
-        const doubled = keys
-          .map((key) => ({ key, at: stewards(world, key, rules) }))
+        const conflict = keys
+          .map((key) => ({ key, at: coordinatorsOf(world, key, rules) }))
           .find(({ at }) => at.length > 1);
-        return doubled && `${doubled.key} has stewards ${doubled.at.join(' and ')}`;
+        return conflict && `${conflict.key} has coordinators ${conflict.at.join(' and ')}`;
       },
     },
     {
-      name: 'an epoch never goes back',
+      name: 'the epoch of a host never decreases',
       check: (world) => {
         const host = world.hosts.find(
           ({ state, highestEpoch }) => (state.record?.epoch ?? 0) < highestEpoch,
         );
-        return host && `${host.state.self.host} went back from epoch ${host.highestEpoch}`;
+        return host && `${host.state.self.host} fell below epoch ${host.highestEpoch}`;
       },
     },
     {
-      name: 'an epoch names one record',
+      name: 'an epoch has one record',
       check: (world) => {
         const host = world.hosts.find(
           ({ state: { record } }) =>
             record !== undefined && world.nonces[record.epoch] !== record.nonce,
         );
-        return host && `${host.state.self.host} has another epoch ${host.state.record?.epoch}`;
+        return host && `${host.state.self.host} differs in epoch ${host.state.record?.epoch}`;
       },
     },
     {
-      name: 'a host cut off from all stops within T',
+      name: 'an isolated host stops within T',
       check: (world) => {
         const host = world.hosts.find((one) => {
           const { aloneSince } = one;
           if (aloneSince === undefined || one.condition !== 'running') return false;
-          const spent = (world.tick - aloneSince) * one.rate;
+          const isolatedMs = (world.tick - aloneSince) * one.rate;
           const members = one.state.record?.members.length ?? 0;
-          // A group of one has nobody to ask and nobody who could take over.
-          if (members < 2 || spent < WORLD_SETTINGS.actForMs) return false;
+          // In a group of one, no other host could vouch or take over.
+          if (members < 2 || isolatedMs < WORLD_SETTINGS.actForMs) return false;
           return memberOf(one, rules).view(localTime(world, one)).mayAct;
         });
         return host && `${host.state.self.host} still acts`;
--- a/packages/group/src/explore/membership/transport.ts
+++ b/packages/group/src/explore/membership/transport.ts
@@ -5,7 +5,7 @@
 import type { MembershipRules } from '../../membership/MembershipSettings.ts';
 import { localTime, WORLD_SETTINGS, type Flight, type World, type WorldHost } from './World.ts';
 
-/** Replaces one host of a world. */
+/** Returns a copy with one host replaced. */
 export function withHost(world: World, place: number, host: WorldHost): World {
   return { ...world, hosts: world.hosts.map((old, at) => (at === place ? host : old)) };
 }
@@ -16,22 +16,22 @@
   );
 }
 
-/** Tells whether two hosts, by their places, reach each other. */
-function isJoined(world: World, a: number, b: number): boolean {
+/** Tells whether two hosts, given by index, can reach each other. */
+function areConnected(world: World, a: number, b: number): boolean {
   const second = world.split?.second ?? [];
   return second.includes(a) === second.includes(b);
 }
 
-/** Tells whether a host reaches the platform. */
+/** Tells whether a host can reach the platform. */
 export function reachesPlatform(world: World, place: number): boolean {
   if (world.platformDown) return false;
   if (world.split === undefined) return true;
   return world.split.second.includes(place) === (world.split.platformSide === 'second');
 }
 
-/** Tells whether a host reaches nobody. */
+/** Tells whether a host can reach neither a peer nor the platform. */
 export function isAlone(world: World, place: number): boolean {
-  const hasPeer = world.hosts.some((_, at) => at !== place && isJoined(world, place, at));
+  const hasPeer = world.hosts.some((_, at) => at !== place && areConnected(world, place, at));
   return !hasPeer && !reachesPlatform(world, place);
 }
 
@@ -52,13 +52,18 @@
   }
 }
 
-/** What a host's step led to. */
+/** Result of a step of a host. */
 interface Stepped {
   readonly world: World;
   readonly effects: readonly MemberEffect[];
 }
 
-function stepped(world: World, place: number, input: MemberInput, rules: MembershipRules): Stepped {
+function stepHost(
+  world: World,
+  place: number,
+  input: MemberInput,
+  rules: MembershipRules,
+): Stepped {
   const host = world.hosts[place];
   if (host === undefined) return { world, effects: [] };
   const member = new GroupMember(host.state, WORLD_SETTINGS, rules);
@@ -68,14 +73,14 @@
   return { world: withHost(world, place, { ...host, state, highestEpoch }), effects };
 }
 
-/** Has a host take one input in; what it sends is on its way afterwards. */
+/** Lets a host handle one input and adds what it sends to the flights. */
 export function inputTo(
   world: World,
   place: number,
   input: MemberInput,
   rules: MembershipRules,
 ): World {
-  const { world: after, effects } = stepped(world, place, input, rules);
+  const { world: after, effects } = stepHost(world, place, input, rules);
   const host = after.hosts[place];
   if (host === undefined) return after;
   const by = memberKey(host.state.self);
@@ -91,14 +96,15 @@
   rules: MembershipRules,
 ): World {
   const { ask, by } = flight;
-  // A host keeps its address when it restarts, so a hello may reach a later incarnation.
+  // A host keeps its address across restarts, so a hello may reach a later incarnation.
   const place = world.hosts.findIndex((host) => host.state.self.peerAddress === ask.to.peerAddress);
   const sender = world.hosts.findIndex((host) => memberKey(host.state.self) === by);
   const isReached =
-    world.hosts[place]?.condition === 'running' && (sender < 0 || isJoined(world, sender, place));
+    world.hosts[place]?.condition === 'running' &&
+    (sender < 0 || areConnected(world, sender, place));
   if (!isReached) return world;
   const input: MemberInput = { type: 'asked', message: ask.message };
-  const { world: after, effects } = stepped(world, place, input, rules);
+  const { world: after, effects } = stepHost(world, place, input, rules);
   const host = after.hosts[place];
   if (host === undefined) return after;
   const { self } = host.state;
@@ -109,8 +115,8 @@
   return { ...after, flights: [...after.flights, ...flights] };
 }
 
-/** Adds something that is on its way. */
-function sending(world: World, flight: Flight): World {
+/** Adds a flight. */
+function withFlight(world: World, flight: Flight): World {
   return { ...world, flights: [...world.flights, flight] };
 }
 
@@ -123,12 +129,12 @@
     outcome,
   });
   if ((world.stored?.version ?? 'absent') !== flight.expected) {
-    return sending(world, answer({ type: 'conflict' }));
+    return withFlight(world, answer({ type: 'conflict' }));
   }
   const version = world.versions + 1;
   const nonces = { [record.epoch]: record.nonce, ...world.nonces };
   const after = { ...world, stored: { record, version }, versions: version, nonces };
-  return sending(after, answer({ type: 'written', version }));
+  return withFlight(after, answer({ type: 'written', version }));
 }
 
 function hostList(world: World): readonly ListedHost[] {
@@ -141,7 +147,7 @@
     }));
 }
 
-/** Gets the answer that a host takes a lost call to the platform for. */
+/** Gets the failure that a host sees for a lost call to the platform; undefined for messages. */
 export function failureOf(flight: Flight): Flight | undefined {
   switch (flight.type) {
     case 'read':
@@ -174,7 +180,7 @@
   return place < 0 ? world : inputTo(world, place, input, rules);
 }
 
-/** Has something on its way arrive; it must have been taken out of the flights before. */
+/** Delivers a flight, which must have been removed from the flights before. */
 export function deliver(world: World, flight: Flight, rules: MembershipRules): World {
   switch (flight.type) {
     case 'hello':
@@ -190,12 +196,12 @@
         world.stored === undefined
           ? ({ type: 'absent' } as const)
           : ({ type: 'found', ...world.stored } as const);
-      return sending(world, { type: 'read_result', to, id, outcome });
+      return withFlight(world, { type: 'read_result', to, id, outcome });
     }
     case 'write':
       return deliverWrite(world, flight);
     case 'read_hosts':
-      return sending(world, { type: 'hosts_result', to: flight.by, hosts: hostList(world) });
+      return withFlight(world, { type: 'hosts_result', to: flight.by, hosts: hostList(world) });
     case 'read_result': {
       const { id, outcome } = flight;
       return deliverToHost(world, flight.to, { type: 'read', id, outcome }, rules);
@@ -211,7 +217,7 @@
   }
 }
 
-/** Tells whether the network and the platform let something through now. */
+/** Tells whether the network and the platform would deliver a flight now. */
 export function isPassable(world: World, flight: Flight): boolean {
   switch (flight.type) {
     case 'read':
@@ -223,7 +229,7 @@
     case 'welcome': {
       const from = world.hosts.findIndex((host) => host.state.self.host === flight.by);
       const to = placeOf(world, flight.to);
-      return to < 0 || isJoined(world, from, to);
+      return to < 0 || areConnected(world, from, to);
     }
     case 'hello':
     case 'read_result':
--- a/packages/group/src/explore/membership/worldKey.ts
+++ b/packages/group/src/explore/membership/worldKey.ts
@@ -4,14 +4,14 @@
 import type { MemberState } from '../../membership/MemberState.ts';
 import { localTime, type Flight, type World, type WorldHost } from './World.ts';
 
-/** Ages above this are beyond every span of the settings, so that they are all alike. */
-const OLD = 32;
+/** Largest age in a key, in ms of a host's clock or in ticks; it exceeds all spans of settings. */
+const MAX_AGE = 32;
 
 function age(now: Millis, at: Millis | undefined): number | undefined {
-  return at === undefined ? undefined : Math.min(OLD, now - at);
+  return at === undefined ? undefined : Math.min(MAX_AGE, now - at);
 }
 
-/** Leaves out the nonce, by which no host decides anything. */
+/** Gets the key of a record without its nonce, on which no decision depends. */
 function recordKey(record: GroupRecord | undefined): unknown {
   if (record === undefined) return undefined;
   const members = record.members.map((one) => [memberKey(one), one.draining, one.listed]);
@@ -74,7 +74,7 @@
   return [host.rate, host.condition, host.listed, alone, stateKey(host.state, now)];
 }
 
-/** Numbers of calls count from the caller's next one, and sending times from its present. */
+/** Gets the key of a flight; call ids are relative to the caller's next id, times to its clock. */
 function flightKey(world: World, flight: Flight): unknown {
   const caller = world.hosts.find((host) => {
     const key = memberKey(host.state.self);
@@ -94,7 +94,7 @@
   return [flight.type, names, call, sent, record, message, ask?.to, ask?.message, outcome, hosts];
 }
 
-/** Gets a text that is equal for worlds with the same future. */
+/** Gets a key that two worlds share only if they have the same possible futures. */
 export function worldKey(world: World): string {
   return JSON.stringify([
     world.hosts.map((host) => hostKey(world, host)),
--- a/packages/group/src/explore/search.ts
+++ b/packages/group/src/explore/search.ts
@@ -1,20 +1,20 @@
 import { RandomSource, sha256Hex } from '@camphorvane/core';
 import type { Exploration, ExploredProtocol, Invariant, Violation } from './ExploredProtocol.ts';
 
-/** Hexadecimal characters of a digest that are kept: 96 bits, so that none of a million collide. */
+/** Hexadecimal characters kept of a digest: 96 bits, at which no collision among 1e6 is likely. */
 const DIGEST_LENGTH = 24;
 
 /** Bounds of an exhaustive search. */
 export interface SearchBounds {
-  /** Most actions from an initial state. */
+  /** Largest number of actions from an initial state. */
   readonly depth: number;
-  /** Most states to visit, a bound on memory. */
+  /** Largest number of states to visit, which bounds the memory. */
   readonly maxStates: number;
-  /** Whether to end at the first violation. */
+  /** Whether to stop at the first violation. */
   readonly stopAtFirst: boolean;
 }
 
-/** A state together with the way to it, as a list linked backwards. */
+/** A visited state with its trace, as a list linked backwards. */
 interface Visit<State> {
   readonly state: State;
   readonly action?: string;
@@ -31,7 +31,7 @@
   return lines.reverse();
 }
 
-function broken<State>(
+function findViolations<State>(
   invariants: readonly Invariant<State>[],
   visit: Visit<State>,
   found: ReadonlyMap<string, Violation>,
@@ -46,12 +46,12 @@
 }
 
 /**
- * Visits every state within a number of actions, breadth first, so that the first violation found
- * has the shortest trace.
+ * Searches all states within bounds, breadth first, so that the first violation found has the
+ * shortest trace.
  *
- * @param protocol - What to search.
- * @param bounds - How far.
- * @returns What was found.
+ * @param protocol - The protocol to search.
+ * @param bounds - Bounds of the search.
+ * @returns The result.
  */
 export function searchAll<State, Action>(
   protocol: ExploredProtocol<State, Action>,
@@ -63,7 +63,7 @@
   let depth = 0;
   let truncated = false;
   const admit = (visit: Visit<State>): readonly Visit<State>[] => {
-    // The digest in place of the key keeps some hundred thousand states within memory.
+    // Digests instead of whole keys let some 100,000 states fit into memory.
     const key = sha256Hex(protocol.key(visit.state)).slice(0, DIGEST_LENGTH);
     if (seen.has(key)) return [];
     if (seen.size >= bounds.maxStates) {
@@ -71,20 +71,22 @@
       return [];
     }
     seen.add(key);
-    broken(protocol.invariants, visit, found).forEach((one) => found.set(one.invariant, one));
+    findViolations(protocol.invariants, visit, found).forEach((violation) =>
+      found.set(violation.invariant, violation),
+    );
     return [visit];
   };
-  const isOver = (): boolean => truncated || (bounds.stopAtFirst && found.size > 0);
+  const isDone = (): boolean => truncated || (bounds.stopAtFirst && found.size > 0);
   let frontier = protocol.initial().flatMap((state) => admit({ state }));
   const expand = (visit: Visit<State>): readonly Visit<State>[] => {
-    if (isOver()) return [];
+    if (isDone()) return [];
     return protocol.actions(visit.state).flatMap((action) => {
       transitions += 1;
       const state = protocol.apply(visit.state, action);
       return admit({ state, action: protocol.describe(action), parent: visit });
     });
   };
-  while (frontier.length > 0 && depth < bounds.depth && !isOver()) {
+  while (frontier.length > 0 && depth < bounds.depth && !isDone()) {
     frontier = frontier.flatMap(expand);
     depth += 1;
   }
@@ -92,7 +94,7 @@
   return { statesVisited: seen.size, transitions, depth, truncated, violations };
 }
 
-/** What a search has found before it begins. */
+/** Result of an empty search. */
 export const EMPTY_EXPLORATION: Exploration = {
   statesVisited: 0,
   transitions: 0,
@@ -101,7 +103,7 @@
   violations: [],
 };
 
-/** Adds up two searches; the depth is that of the later one. */
+/** Merges the results of two searches; the depth is that of the later one. */
 export function mergeExplorations(before: Exploration, later: Exploration): Exploration {
   const known = new Set(before.violations.map((violation) => violation.invariant));
   const fresh = later.violations.filter((violation) => !known.has(violation.invariant));
@@ -117,17 +119,17 @@
 /** Bounds of random runs. */
 export interface RandomBounds {
   readonly runs: number;
-  /** Actions in each run. */
+  /** Number of actions in each run. */
   readonly length: number;
   readonly seed: number;
 }
 
 /**
- * Walks through a protocol at random, far deeper than a search of everything can go.
+ * Runs random walks, which go far deeper than an exhaustive search can.
  *
- * @param protocol - What to walk through.
- * @param bounds - How many runs of which length, and the seed.
- * @returns What was found; a trace is as long as its run happened to be.
+ * @param protocol - The protocol to search.
+ * @param bounds - Number and length of the runs, and the seed.
+ * @returns The result; traces are not minimal.
  */
 export function searchRandomly<State, Action>(
   protocol: ExploredProtocol<State, Action>,
@@ -150,8 +152,8 @@
       visit = { state, action: protocol.describe(action), parent: visit };
       transitions += 1;
       steps += 1;
-      const violations = broken(protocol.invariants, visit, found);
-      violations.forEach((one) => found.set(one.invariant, one));
+      const violations = findViolations(protocol.invariants, visit, found);
+      violations.forEach((violation) => found.set(violation.invariant, violation));
       if (violations.length > 0) return;
     }
   });
--- a/packages/group/src/explore/shares/ShareProtocol.ts
+++ b/packages/group/src/explore/shares/ShareProtocol.ts
@@ -15,7 +15,7 @@
   type WorldMessage,
 } from './ShareWorld.ts';
 
-/** One thing that can happen in an explored world. */
+/** An action of the simulation. */
 export type ShareAction =
   | { readonly type: 'send'; readonly host: number; readonly demand: number }
   | { readonly type: 'deliver'; readonly message: number; readonly keep: boolean }
@@ -27,10 +27,10 @@
   | { readonly type: 'learn'; readonly host: number }
   | { readonly type: 'restart'; readonly host: number };
 
-/** Demand that outweighs the part of the rate that is spread evenly, in seconds of the rate. */
+/** Demand, in seconds of the rate, that outweighs the evenly spread part of the rate. */
 const DEMAND_SECONDS = 20;
 
-/** Rounding of levels, in tokens. */
+/** Tolerance for rounding of levels, in tokens. */
 const EPSILON = 1e-6;
 
 function lookupOf(world: ShareWorld, host: WorldHost): () => string {
@@ -38,8 +38,8 @@
 }
 
 /**
- * What membership guarantees: one steward at a time, who acts only once every earlier one has
- * stopped; in this world an old one stops at the moment of the change.
+ * Gets what membership guarantees: one coordinator at a time, which acts only after all earlier
+ * ones have stopped; in this simulation the old one stops at the moment of the change.
  */
 function contextOf(world: ShareWorld, index: number): StewardContext {
   const host = world.hosts[index] as WorldHost;
@@ -111,7 +111,7 @@
   return { ...withHost(world, index, host), received: world.received + level };
 }
 
-/** Tokens that are lent are spent at another host, if they are not lost on the way. */
+/** Lends tokens: they count as spent at another host, though the message might be lost. */
 function borrow(world: ShareWorld, from: number): ShareWorld {
   const lender = forkHost(world.hosts[from] as WorldHost);
   const lent = lender.holder.lend(TEAM, Infinity, clockOf(world, lender));
@@ -130,8 +130,8 @@
   const message = world.messages[action.message];
   if (message === undefined) return world;
   const messages = world.messages.filter((_, i) => action.keep || i !== action.message);
-  const rest = { ...world, messages };
-  return message.type === 'sync' ? deliverSync(rest, message) : deliverReply(rest, message);
+  const next = { ...world, messages };
+  return message.type === 'sync' ? deliverSync(next, message) : deliverReply(next, message);
 }
 
 function apply(world: ShareWorld, action: ShareAction, options: ShareWorldOptions): ShareWorld {
@@ -202,7 +202,7 @@
   ];
 }
 
-/** Gets the units that could be used now: by holders, or granted by the steward in office. */
+/** Gets the units that holders can use now or that the present coordinator could grant. */
 function unitsInUse(world: ShareWorld): number {
   const held = world.hosts.map((host) => {
     const copy = host.holder.fork();
@@ -210,10 +210,10 @@
   });
   const index = stewardIndex(world, world.epoch);
   const steward = world.hosts[index];
-  const account = steward?.steward.accounts.get(TEAM);
+  const ledger = steward?.steward.accounts.get(TEAM);
   const isCurrent =
-    account !== undefined && contextOf(world, index).stewardThroughout(TEAM, account.epoch);
-  return held.reduce((a, b) => a + b, 0) + (isCurrent ? account.free : 0);
+    ledger !== undefined && contextOf(world, index).stewardThroughout(TEAM, ledger.epoch);
+  return held.reduce((a, b) => a + b, 0) + (isCurrent ? ledger.free : 0);
 }
 
 function keyOf(world: ShareWorld): string {
@@ -246,7 +246,7 @@
   ];
 }
 
-/** Makes the protocol of shares explorable: the machines that hosts run, in a world of faults. */
+/** Wraps the share protocol for the model checker: the hosts' state machines, with faults. */
 export function shareProtocol(
   options: ShareWorldOptions,
 ): ExploredProtocol<ShareWorld, ShareAction> {
--- a/packages/group/src/explore/shares/ShareWorld.ts
+++ b/packages/group/src/explore/shares/ShareWorld.ts
@@ -4,21 +4,21 @@
 import type { ShareRules, ShareSettings } from '../../shares/ShareSettings.ts';
 import { ShareSteward } from '../../shares/ShareSteward.ts';
 
-/** The one team of an explored world. */
+/** The only team of the simulation. */
 export const TEAM = 'team';
 
-/** One start of a host in an explored world. */
+/** One incarnation of a simulated host. */
 export interface WorldHost {
   readonly key: string;
   readonly holder: ShareHolder;
   readonly steward: ShareSteward;
-  /** How fast its clock runs against true time. */
+  /** Rate of its clock relative to true time. */
   readonly clockRate: number;
-  /** The newest epoch that it has heard of. */
+  /** The newest epoch that it knows. */
   readonly epoch: number;
 }
 
-/** A message under way. */
+/** A message in flight. */
 export type WorldMessage =
   | {
       readonly type: 'sync';
@@ -33,12 +33,12 @@
       readonly reply: ShareReply;
     };
 
-/** A few hosts, their messages and what callers have received. */
+/** State of the simulation: hosts, messages and the tokens that callers have received. */
 export interface ShareWorld {
-  /** True time. */
+  /** True time, in milliseconds. */
   readonly at: Millis;
   readonly epoch: number;
-  /** Position of each epoch's steward; the last one is in office. */
+  /** Index of each epoch's coordinator; the last one is the present coordinator. */
   readonly stewards: readonly number[];
   readonly hosts: readonly WorldHost[];
   readonly messages: readonly WorldMessage[];
@@ -46,12 +46,12 @@
   readonly restarts: number;
 }
 
-/** What an explored world is made of. */
+/** Options of a simulation. */
 export interface ShareWorldOptions {
   readonly settings: ShareSettings;
   readonly rules: ShareRules;
   readonly rate: TeamRate;
-  /** The hosts' clocks against true time; as many hosts as entries. */
+  /** Clock rate of each host relative to true time. */
   readonly clockRates: readonly number[];
   readonly ticks: readonly Millis[];
   readonly maxMessages: number;
@@ -59,12 +59,12 @@
   readonly maxRestarts: number;
 }
 
-/** Gets a host's own clock. */
+/** Gets the time on a host's clock. */
 export function clockOf(world: ShareWorld, host: WorldHost): Millis {
   return world.at * host.clockRate;
 }
 
-/** Makes a host that has just started and knows an epoch. */
+/** Creates a host that has just started and knows an epoch. */
 export function startHost(
   options: ShareWorldOptions,
   key: string,
@@ -79,23 +79,23 @@
   return { key, holder, steward, clockRate, epoch };
 }
 
-/** Makes the world in which the group has just come into being. */
+/** Creates the initial state, with a new group. */
 export function startWorld(options: ShareWorldOptions): ShareWorld {
   const hosts = options.clockRates.map((rate, i) => startHost(options, `h${i}`, rate, 1));
   return { at: 0, epoch: 1, stewards: [0], hosts, messages: [], received: 0, restarts: 0 };
 }
 
-/** Replaces one host. */
+/** Returns a copy with one host replaced. */
 export function withHost(world: ShareWorld, index: number, host: WorldHost): ShareWorld {
   return { ...world, hosts: world.hosts.map((other, i) => (i === index ? host : other)) };
 }
 
-/** Gets the position of the steward under an epoch. */
+/** Gets the index of the coordinator of an epoch. */
 export function stewardIndex(world: ShareWorld, epoch: number): number {
   return world.stewards[epoch - 1] ?? 0;
 }
 
-/** Copies a host with machines that may be changed. */
+/** Copies a host with independent state machines. */
 export function forkHost(host: WorldHost): WorldHost {
   return { ...host, holder: host.holder.fork(), steward: host.steward.fork() };
 }
--- a/packages/group/src/explore/shares/index.ts
+++ b/packages/group/src/explore/shares/index.ts
@@ -8,18 +8,18 @@
 function rulesOf(mutation: string | undefined): ShareRules {
   if (mutation === undefined) return SHARE_RULES;
   const rules = SHARE_MUTATIONS[mutation];
-  if (rules === undefined) throw new Error(`no mutation ${mutation}`);
+  if (rules === undefined) throw new Error(`unknown mutation ${mutation}`);
   return rules;
 }
 
-/** Gets a world of so many hosts; beyond the first two their clocks are exact. */
+/** Gets the options for a number of hosts; all clocks but the first two are exact. */
 function worldOf(hosts: number, mutation: string | undefined): ShareWorldOptions {
   const { clockRates } = SHARE_WORLD;
   const rates = Array.from({ length: hosts }, (_, i) => clockRates[i] ?? 1);
   return { ...SHARE_WORLD, clockRates: rates, rules: rulesOf(mutation) };
 }
 
-/** Shares of team rates as the command line offers them. */
+/** The share protocol of team rates, for the command line. */
 export const EXPLORABLE_SHARES: ExplorableProtocol = {
   name: 'shares',
   mutations: Object.keys(SHARE_MUTATIONS),
--- a/packages/group/src/explore/shares/worlds.ts
+++ b/packages/group/src/explore/shares/worlds.ts
@@ -1,10 +1,10 @@
 import { DEFAULT_SHARES, SHARE_RULES, type ShareRules } from '../../shares/ShareSettings.ts';
 import type { ShareWorldOptions } from './ShareWorld.ts';
 
-/** Bound on drift in explored worlds: large, so that few steps show what a margin is for. */
+/** Clock drift bound in simulations: large, so that a missing margin shows within few steps. */
 const DRIFT = 0.1;
 
-/** Two hosts with the slowest and the fastest clock allowed; the slow one is steward first. */
+/** Two hosts with the fastest and the slowest clock allowed; the fast one coordinates first. */
 export const SHARE_WORLD: ShareWorldOptions = {
   settings: { ...DEFAULT_SHARES, ttlMs: 1000, driftBound: DRIFT },
   rules: SHARE_RULES,
@@ -16,7 +16,7 @@
   maxRestarts: 1,
 };
 
-/** Rules with one safeguard taken away each; a search that finds no fault in them proves nothing. */
+/** Sets of rules with one safeguard removed each; the search must find a violation in all. */
 export const SHARE_MUTATIONS: Readonly<Record<string, ShareRules>> = {
   'counted-twice': { ...SHARE_RULES, deductsFirst: false },
   'no-expiry-check': { ...SHARE_RULES, checksExpiry: false },
