--- a/packages/group/src/shares/ShareSteward.ts
+++ b/packages/group/src/shares/ShareSteward.ts
@@ -40,7 +40,7 @@
   private readonly recovering = new Set<TeamId>();
 
   /** Teams whose shares may be far from their targets at holders that do not report them. */
-  private unsettled = new UnsettledTeams();
+  private pendingRebalances = new UnsettledTeams();
 
   private session = 1;
 
@@ -60,7 +60,7 @@
     this.ledgers.forEach((ledger, team) => copy.ledgers.set(team, ledger));
     this.pairs.forEach((pair, key) => copy.pairs.set(key, pair));
     this.recovering.forEach((team) => copy.recovering.add(team));
-    copy.unsettled = this.unsettled.fork();
+    copy.pendingRebalances = this.pendingRebalances.fork();
     return copy;
   }
 
@@ -76,8 +76,8 @@
 
   /** Gets all state that decides what this coordinator does next, as plain values. */
   get state(): unknown {
-    const { ledgers, pairs, recovering, unsettled, session } = this;
-    return [[...ledgers], [...pairs], [...recovering], unsettled.state, session];
+    const { ledgers, pairs, recovering, pendingRebalances, session } = this;
+    return [[...ledgers], [...pairs], [...recovering], pendingRebalances.state, session];
   }
 
   /** Gets the ledgers, for a dump. */
@@ -172,14 +172,14 @@
     const rate = this.rates.get(team);
     const base = rate === undefined ? ledger : refreshedLedger(ledger, rate, this.settings, now);
     this.ledgers.set(team, withoutHolder(base, holder));
-    this.unsettled.add(team);
+    this.pendingRebalances.add(team);
   }
 
   private trackMembers(ctx: StewardContext): void {
     const key = ctx.members.join(' ');
     if (key === this.membersKey) return;
     this.membersKey = key;
-    this.unsettled.reset(ctx.members, [...this.ledgers.keys()]);
+    this.pendingRebalances.reset(ctx.members, [...this.ledgers.keys()]);
   }
 
   private settlePending(holder: string, pair: HolderPair, sync: ShareSync, now: Millis): void {
@@ -217,7 +217,7 @@
       this.ledgers.set(team, openRecovering(team, this.session, ctx.epoch, until, now));
       this.recovering.add(team);
     }
-    this.unsettled.add(team);
+    this.pendingRebalances.add(team);
   }
 
   private handleReport(
@@ -251,8 +251,9 @@
     const ledger = this.ledgers.get(team) as TeamLedger;
     const allocation = allocate(ledger, holder, this.contextOf(team, ctx, now));
     this.ledgers.set(team, allocation.ledger);
-    this.unsettled.remove(holder, team);
-    if (allocation.grant.share < (ledger.entries[holder]?.share ?? 0)) this.unsettled.add(team);
+    this.pendingRebalances.remove(holder, team);
+    if (allocation.grant.share < (ledger.entries[holder]?.share ?? 0))
+      this.pendingRebalances.add(team);
     return allocation;
   }
 
@@ -268,9 +269,9 @@
     ctx: StewardContext,
     now: Millis,
   ): readonly TeamGrant[] {
-    const teams = this.unsettled.of(holder).filter((team) => !reported.has(team));
+    const teams = this.pendingRebalances.of(holder).filter((team) => !reported.has(team));
     return teams.slice(0, this.settings.maxEntries).flatMap((team) => {
-      this.unsettled.remove(holder, team);
+      this.pendingRebalances.remove(holder, team);
       const ledger = this.ledgers.get(team);
       if (ledger === undefined || !this.rates.has(team)) return [];
       if (!this.ensureLedger(team, ctx, now)) return [];
@@ -335,6 +336,6 @@
     const fresh = refreshedLedger(ledger, rate, this.settings, now);
     const isComplete = ctx.isWholeHistory && this.allListed(fresh, ctx);
     this.ledgers.set(team, withRecoveryEnded(fresh, rate, isComplete));
-    this.unsettled.add(team);
+    this.pendingRebalances.add(team);
   }
 }
