--- a/packages/bench/src/rates/RateGroup.ts
+++ b/packages/bench/src/rates/RateGroup.ts
@@ -7,7 +7,7 @@
   type TeamConfig,
   type VirtualClock,
 } from '@camphorvane/core';
-import { DEFAULT_MEMBERSHIP, memberKey, type MemberIdentity } from '@camphorvane/group';
+import { DEFAULT_MEMBERSHIP_SETTINGS, memberKey, type MemberIdentity } from '@camphorvane/group';
 import {
   GroupAuthority,
   GroupRunner,
@@ -114,7 +114,7 @@
     };
     const link = this.network.link({ ...self, protocol: 1 }, clock);
     const random = new RandomSource(seed * 1000 + index);
-    const settings = DEFAULT_MEMBERSHIP;
+    const settings = DEFAULT_MEMBERSHIP_SETTINGS;
     const base = { group: 'g', self, settings, clock, random, store, link };
     const runner = new GroupRunner(base);
     const authority = new GroupAuthority(runner, memberKey(self));
--- a/packages/bench/src/slopes/LoopbackGroup.ts
+++ b/packages/bench/src/slopes/LoopbackGroup.ts
@@ -1,5 +1,5 @@
 import { type Clock, RandomSource, sleep, SystemClock, type TeamConfig } from '@camphorvane/core';
-import { DEFAULT_MEMBERSHIP, memberKey, type MemberIdentity } from '@camphorvane/group';
+import { DEFAULT_MEMBERSHIP_SETTINGS, memberKey, type MemberIdentity } from '@camphorvane/group';
 import {
   FleetCredential,
   GroupAuthority,
@@ -98,7 +98,7 @@
       ...{ peerAddress, callerAddress: peerAddress },
     };
     const random = new RandomSource(index);
-    const settings = { ...DEFAULT_MEMBERSHIP, urgentHostListMs: 300, staggerMs: 100 };
+    const settings = { ...DEFAULT_MEMBERSHIP_SETTINGS, urgentHostListMs: 300, staggerMs: 100 };
     const runner = new GroupRunner({ group: 'g', self, settings, clock, random, store, link });
     const authority = new GroupAuthority(runner, memberKey(self));
     const rates = new TeamRates({ clock, link, authority });
--- a/packages/bench/src/slopes/memorySlopes.ts
+++ b/packages/bench/src/slopes/memorySlopes.ts
@@ -1,5 +1,5 @@
 import { SystemClock, type TeamConfig } from '@camphorvane/core';
-import { DEFAULT_SHARES, ShareHolder, ShareSteward } from '@camphorvane/group';
+import { DEFAULT_SHARE_SETTINGS, ShareHolder, ShareCoordinator } from '@camphorvane/group';
 import { chunkConfig, parsePart } from '@camphorvane/store';
 import { teamsOf } from './groupSlopes.ts';
 import { type Slope, slopeOf } from './Slope.ts';
@@ -46,22 +46,28 @@
   const configs = teamsOf(teams);
   const before = heapUsed();
   const rates = new Map(configs.map((team) => [team.id, team.rate]));
-  const holders = Array.from({ length: HOLDERS }, () => new ShareHolder(DEFAULT_SHARES));
-  const steward = new ShareSteward(DEFAULT_SHARES);
-  steward.setTeams(rates, 0);
+  const holders = Array.from({ length: HOLDERS }, () => new ShareHolder(DEFAULT_SHARE_SETTINGS));
+  const steward = new ShareCoordinator(DEFAULT_SHARE_SETTINGS);
+  steward.setRates(rates, 0);
   const keys = holders.map((_, i) => `h${i}/1`);
   const context = {
-    ...{ epoch: 1, members: keys, mayHold: keys, isWholeHistory: true, isFirstEpoch: true },
-    ...{ maySteward: () => true, stewardThroughout: () => true },
+    ...{
+      epoch: 1,
+      members: keys,
+      possibleHolders: keys,
+      isHistoryComplete: true,
+      isFirstEpoch: true,
+    },
+    ...{ mayCoordinate: () => true, isCoordinatorThroughout: () => true },
   };
-  rates.forEach((_, team) => steward.ensure(team, context, 0));
+  rates.forEach((_, team) => steward.ensureTeam(team, context, 0));
   const [first] = holders;
-  const rounds = Math.ceil(teams / DEFAULT_SHARES.maxEntries) + 2;
-  first?.setTeams(rates, 0);
+  const rounds = Math.ceil(teams / DEFAULT_SHARE_SETTINGS.maxTeamsPerMessage) + 2;
+  first?.setRates(rates, 0);
   Array.from({ length: rounds }).forEach((_, i) => {
-    const sync = first?.sync('h0/1', 1, () => 'h0/1', i);
-    const answer = sync && steward.answer('h0/1', sync, context, i);
-    if (answer !== undefined) first?.apply('h0/1', answer.reply, () => 'h0/1', i);
+    const sync = first?.createSync('h0/1', 1, () => 'h0/1', i);
+    const answer = sync && steward.handleSync('h0/1', sync, context, i);
+    if (answer !== undefined) first?.applyReply('h0/1', answer.reply, () => 'h0/1', i);
   });
   const used = heapUsed() - before;
   return steward.accounts.size > 0 && first !== undefined ? used : 0;
--- a/packages/group/src/explore/membership/MembershipProtocol.ts
+++ b/packages/group/src/explore/membership/MembershipProtocol.ts
@@ -3,10 +3,10 @@
 import type { ExploredProtocol } from '../ExploredProtocol.ts';
 import {
   faultsIn,
-  repair,
+  applyRepair,
   repairsIn,
-  strike,
-  withAloneness,
+  injectFault,
+  withIsolation,
   type Fault,
   type Repair,
 } from './faults.ts';
@@ -115,7 +115,7 @@
 
 /** Advances time tick by tick; stops at a violation, so that a long wait does not hide it. */
 function passTicks(world: World, ticks: number, search: MembershipSearch): World {
-  const after = withAloneness(pass(world, search.rules));
+  const after = withIsolation(pass(world, search.rules));
   const isBroken = membershipInvariants(search.hosts, search.rules).some(
     (invariant) => invariant.check(after) !== undefined,
   );
@@ -238,10 +238,10 @@
       return moveFlight(world, action, search);
     case 'fault':
       return grain === 'rounds'
-        ? applyAndSettle(world, (quiet) => strike(quiet, action.fault, rules), rules)
-        : strike(world, action.fault, rules);
+        ? applyAndSettle(world, (quiet) => injectFault(quiet, action.fault, rules), rules)
+        : injectFault(world, action.fault, rules);
     case 'repair':
-      return repair(world, action.repair);
+      return applyRepair(world, action.repair);
     default:
       return action satisfies never;
   }
@@ -279,7 +279,7 @@
     initial: () => initialWorlds(search),
     actions: (world) => actionsIn(world, search.grain),
     apply: (world, action) => {
-      const after = withAloneness(applyAction(world, action, search));
+      const after = withIsolation(applyAction(world, action, search));
       return search.grain === 'rounds' ? after : dropExcess(after);
     },
     key: worldKey,
--- a/packages/group/src/explore/membership/World.ts
+++ b/packages/group/src/explore/membership/World.ts
@@ -18,7 +18,7 @@
   /** Highest epoch that this incarnation has known. */
   readonly highestEpoch: number;
   /** Tick since which it can reach neither a peer nor the platform. */
-  readonly aloneSince?: number;
+  readonly isolatedSince?: number;
 }
 
 type Ask = Extract<MemberEffect, { type: 'ask' }>;
@@ -99,14 +99,14 @@
 export const WORLD_SETTINGS: MembershipSettings = {
   actForMs: 10,
   driftBound: Math.sqrt(FAST / SLOW) - 1,
-  vouchPeriodMs: 1,
-  suspectMs: 5,
-  platformReadMs: 6,
-  urgentReadMs: 1,
-  hostListMs: 4,
-  urgentHostListMs: 2,
+  heartbeatIntervalMs: 1,
+  suspectTimeoutMs: 5,
+  recordReadIntervalMs: 6,
+  urgentReadIntervalMs: 1,
+  hostListIntervalMs: 4,
+  urgentHostListIntervalMs: 2,
   goneAfterMs: 6,
-  staggerMs: 1,
+  writeStaggerMs: 1,
   maxMembers: 4,
   jitter: 0,
 };
--- a/packages/group/src/explore/membership/faults.ts
+++ b/packages/group/src/explore/membership/faults.ts
@@ -1,6 +1,6 @@
 import type { MembershipRules } from '../../membership/MembershipSettings.ts';
 import { initialState } from '../../membership/MemberState.ts';
-import { inputTo, isAlone, withHost } from './transport.ts';
+import { inputTo, isIsolated, withHost } from './transport.ts';
 import { identityAt, localTime, type Split, type Trap, type World } from './World.ts';
 
 /** A fault to inject into the simulation. */
@@ -75,16 +75,16 @@
 }
 
 /** Records since when each host has been isolated. */
-export function withAloneness(world: World): World {
+export function withIsolation(world: World): World {
   const hosts = world.hosts.map((host, place) => {
-    const alone = isAlone(world, place);
-    return { ...host, aloneSince: alone ? (host.aloneSince ?? world.tick) : undefined };
+    const alone = isIsolated(world, place);
+    return { ...host, aloneSince: alone ? (host.isolatedSince ?? world.tick) : undefined };
   });
   return { ...world, hosts };
 }
 
 /** Injects a fault. */
-export function strike(before: World, fault: Fault, rules: MembershipRules): World {
+export function injectFault(before: World, fault: Fault, rules: MembershipRules): World {
   const world = { ...before, faultsLeft: before.faultsLeft - 1 };
   switch (fault.type) {
     case 'crash':
@@ -117,7 +117,7 @@
 }
 
 /** Repairs a fault. */
-export function repair(world: World, mend: Repair): World {
+export function applyRepair(world: World, mend: Repair): World {
   switch (mend.type) {
     case 'restart':
       return restart(world, mend.place);
--- a/packages/group/src/explore/membership/invariants.ts
+++ b/packages/group/src/explore/membership/invariants.ts
@@ -11,7 +11,7 @@
 function coordinatorsOf(world: World, key: string, rules: MembershipRules): readonly string[] {
   return world.hosts
     .filter((host) => host.condition === 'running')
-    .filter((host) => memberOf(host, rules).maySteward(key, localTime(world, host)))
+    .filter((host) => memberOf(host, rules).mayCoordinate(key, localTime(world, host)))
     .map((host) => host.state.self.host);
 }
 
@@ -60,9 +60,9 @@
       name: 'an isolated host stops within T',
       check: (world) => {
         const host = world.hosts.find((one) => {
-          const { aloneSince } = one;
-          if (aloneSince === undefined || one.condition !== 'running') return false;
-          const isolatedMs = (world.tick - aloneSince) * one.rate;
+          const { isolatedSince } = one;
+          if (isolatedSince === undefined || one.condition !== 'running') return false;
+          const isolatedMs = (world.tick - isolatedSince) * one.rate;
           const members = one.state.record?.members.length ?? 0;
           // In a group of one, no other host could vouch or take over.
           if (members < 2 || isolatedMs < WORLD_SETTINGS.actForMs) return false;
--- a/packages/group/src/explore/membership/transport.ts
+++ b/packages/group/src/explore/membership/transport.ts
@@ -30,7 +30,7 @@
 }
 
 /** Tells whether a host can reach neither a peer nor the platform. */
-export function isAlone(world: World, place: number): boolean {
+export function isIsolated(world: World, place: number): boolean {
   const hasPeer = world.hosts.some((_, at) => at !== place && areConnected(world, place, at));
   return !hasPeer && !reachesPlatform(world, place);
 }
--- a/packages/group/src/explore/membership/worldKey.ts
+++ b/packages/group/src/explore/membership/worldKey.ts
@@ -52,7 +52,7 @@
     state.intent,
     recordKey(state.record),
     age(now, state.confirmedAt),
-    age(now, state.quorumAt),
+    age(now, state.previousClosedAt),
     peersKey(state, now),
     state.ended,
     state.listed,
@@ -64,12 +64,12 @@
     state.failedReads,
     age(now, state.lastHostsAt),
     age(now, state.lastTickAt),
-    age(now, state.wantSince),
+    age(now, state.changeWantedSince),
   ];
 }
 
 function hostKey(world: World, host: WorldHost): unknown {
-  const alone = age(world.tick, host.aloneSince);
+  const alone = age(world.tick, host.isolatedSince);
   const now = localTime(world, host);
   return [host.rate, host.condition, host.listed, alone, stateKey(host.state, now)];
 }
--- a/packages/group/src/explore/shares/ShareProtocol.ts
+++ b/packages/group/src/explore/shares/ShareProtocol.ts
@@ -1,6 +1,6 @@
 import type { ExploredProtocol, Invariant } from '../ExploredProtocol.ts';
 import { SHARE_UNITS } from '../../shares/ShareSettings.ts';
-import type { StewardContext } from '../../shares/StewardContext.ts';
+import type { CoordinatorContext } from '../../shares/CoordinatorContext.ts';
 import {
   clockOf,
   forkHost,
@@ -8,7 +8,7 @@
   type ShareWorldOptions,
   startHost,
   startWorld,
-  stewardIndex,
+  coordinatorIndex,
   TEAM,
   withHost,
   type WorldHost,
@@ -34,24 +34,24 @@
 const EPSILON = 1e-6;
 
 function lookupOf(world: ShareWorld, host: WorldHost): () => string {
-  return () => world.hosts[stewardIndex(world, host.epoch)]?.key ?? '';
+  return () => world.hosts[coordinatorIndex(world, host.epoch)]?.key ?? '';
 }
 
 /**
  * Gets what membership guarantees: one coordinator at a time, which acts only after all earlier
  * ones have stopped; in this simulation the old one stops at the moment of the change.
  */
-function contextOf(world: ShareWorld, index: number): StewardContext {
+function contextOf(world: ShareWorld, index: number): CoordinatorContext {
   const host = world.hosts[index] as WorldHost;
-  const isSteward = stewardIndex(world, world.epoch) === index;
+  const isSteward = coordinatorIndex(world, world.epoch) === index;
   return {
     epoch: host.epoch,
     members: world.hosts.map((other) => other.key),
-    mayHold: world.hosts.map((other) => other.key),
-    isWholeHistory: world.restarts === 0,
+    possibleHolders: world.hosts.map((other) => other.key),
+    isHistoryComplete: world.restarts === 0,
     isFirstEpoch: host.epoch === 1 && world.restarts === 0,
-    maySteward: () => isSteward && host.epoch === world.epoch,
-    stewardThroughout: (_team, since) =>
+    mayCoordinate: () => isSteward && host.epoch === world.epoch,
+    isCoordinatorThroughout: (_team, since) =>
       world.stewards.slice(since, host.epoch).every((steward) => steward === index),
   };
 }
@@ -66,7 +66,7 @@
   const host = forkHost(known);
   const now = clockOf(world, host);
   const ctx = contextOf(world, index);
-  const answer = host.steward.answer(message.from, message.sync, ctx, now);
+  const answer = host.coordinator.handleSync(message.from, message.sync, ctx, now);
   const next = withHost(world, index, host);
   if (answer === undefined) return next;
   const reply: WorldMessage = {
@@ -87,7 +87,7 @@
   if (known === undefined) return world;
   const host = forkHost(known);
   const now = clockOf(world, host);
-  host.holder.apply(message.from, message.reply, lookupOf(world, host), now);
+  host.holder.applyReply(message.from, message.reply, lookupOf(world, host), now);
   return withHost(world, index, host);
 }
 
@@ -95,10 +95,10 @@
   const host = forkHost(world.hosts[index] as WorldHost);
   const now = clockOf(world, host);
   const lookup = lookupOf(world, host);
-  host.holder.failed(lookup());
-  if (demand > 0) host.holder.demand(TEAM, demand, now);
-  host.holder.touch(TEAM, now);
-  const sync = host.holder.sync(lookup(), host.epoch, lookup, now);
+  host.holder.handleSyncFailure(lookup());
+  if (demand > 0) host.holder.recordDemand(TEAM, demand, now);
+  host.holder.markDirty(TEAM, now);
+  const sync = host.holder.createSync(lookup(), host.epoch, lookup, now);
   const message: WorldMessage = { type: 'sync', from: host.key, to: lookup(), sync };
   return { ...withHost(world, index, host), messages: [...world.messages, message] };
 }
@@ -106,7 +106,7 @@
 function spend(world: ShareWorld, index: number): ShareWorld {
   const host = forkHost(world.hosts[index] as WorldHost);
   const now = clockOf(world, host);
-  const level = Math.floor(host.holder.current(TEAM, now)?.bucket.level ?? 0);
+  const level = Math.floor(host.holder.getHeldShare(TEAM, now)?.bucket.level ?? 0);
   if (level < 1 || host.holder.charge(TEAM, level, now).type !== 'charged') return world;
   return { ...withHost(world, index, host), received: world.received + level };
 }
@@ -152,7 +152,7 @@
       return { ...world, epoch: world.epoch + 1, stewards: [...world.stewards, action.steward] };
     case 'learn': {
       const host = forkHost(world.hosts[action.host] as WorldHost);
-      host.holder.epochChanged();
+      host.holder.handleEpochChange();
       return withHost(world, action.host, { ...host, epoch: world.epoch });
     }
     case 'restart':
@@ -206,13 +206,13 @@
 function unitsInUse(world: ShareWorld): number {
   const held = world.hosts.map((host) => {
     const copy = host.holder.fork();
-    return copy.current(TEAM, clockOf(world, host))?.share ?? 0;
+    return copy.getHeldShare(TEAM, clockOf(world, host))?.share ?? 0;
   });
-  const index = stewardIndex(world, world.epoch);
+  const index = coordinatorIndex(world, world.epoch);
   const steward = world.hosts[index];
-  const ledger = steward?.steward.accounts.get(TEAM);
+  const ledger = steward?.coordinator.accounts.get(TEAM);
   const isCurrent =
-    ledger !== undefined && contextOf(world, index).stewardThroughout(TEAM, ledger.epoch);
+    ledger !== undefined && contextOf(world, index).isCoordinatorThroughout(TEAM, ledger.epoch);
   return held.reduce((a, b) => a + b, 0) + (isCurrent ? ledger.free : 0);
 }
 
@@ -220,7 +220,7 @@
   const hosts = world.hosts.map((host) => {
     const { held, pairs, dirty, unlisted } = host.holder.state;
     const lists = [...unlisted].map(([key, teams]) => [key, [...teams]]);
-    return [host.key, host.epoch, [...held], [...pairs], [...dirty], lists, host.steward.state];
+    return [host.key, host.epoch, [...held], [...pairs], [...dirty], lists, host.coordinator.state];
   });
   return JSON.stringify([world.at, world.stewards, hosts, world.messages, world.received]);
 }
--- a/packages/group/src/explore/shares/ShareWorld.ts
+++ b/packages/group/src/explore/shares/ShareWorld.ts
@@ -2,7 +2,7 @@
 import { ShareHolder } from '../../shares/ShareHolder.ts';
 import type { ShareReply, ShareSync } from '../../shares/ShareMessage.ts';
 import type { ShareRules, ShareSettings } from '../../shares/ShareSettings.ts';
-import { ShareSteward } from '../../shares/ShareSteward.ts';
+import { ShareCoordinator } from '../../shares/ShareCoordinator.ts';
 
 /** The only team of the simulation. */
 export const TEAM = 'team';
@@ -11,7 +11,7 @@
 export interface WorldHost {
   readonly key: string;
   readonly holder: ShareHolder;
-  readonly steward: ShareSteward;
+  readonly coordinator: ShareCoordinator;
   /** Rate of its clock relative to true time. */
   readonly clockRate: number;
   /** The newest epoch that it knows. */
@@ -72,11 +72,11 @@
   epoch: number,
 ): WorldHost {
   const holder = new ShareHolder(options.settings, options.rules);
-  const steward = new ShareSteward(options.settings, options.rules);
+  const coordinator = new ShareCoordinator(options.settings, options.rules);
   const rates = new Map([[TEAM, options.rate]]);
-  holder.setTeams(rates, 0);
-  steward.setTeams(rates, 0);
-  return { key, holder, steward, clockRate, epoch };
+  holder.setRates(rates, 0);
+  coordinator.setRates(rates, 0);
+  return { key, holder, coordinator, clockRate, epoch };
 }
 
 /** Creates the initial state, with a new group. */
@@ -91,11 +91,11 @@
 }
 
 /** Gets the index of the coordinator of an epoch. */
-export function stewardIndex(world: ShareWorld, epoch: number): number {
+export function coordinatorIndex(world: ShareWorld, epoch: number): number {
   return world.stewards[epoch - 1] ?? 0;
 }
 
 /** Copies a host with independent state machines. */
 export function forkHost(host: WorldHost): WorldHost {
-  return { ...host, holder: host.holder.fork(), steward: host.steward.fork() };
+  return { ...host, holder: host.holder.fork(), coordinator: host.coordinator.fork() };
 }
--- a/packages/group/src/explore/shares/worlds.ts
+++ b/packages/group/src/explore/shares/worlds.ts
@@ -1,4 +1,8 @@
-import { DEFAULT_SHARES, SHARE_RULES, type ShareRules } from '../../shares/ShareSettings.ts';
+import {
+  DEFAULT_SHARE_SETTINGS,
+  SHARE_RULES,
+  type ShareRules,
+} from '../../shares/ShareSettings.ts';
 import type { ShareWorldOptions } from './ShareWorld.ts';
 
 /** Clock drift bound in simulations: large, so that a missing margin shows within few steps. */
@@ -6,7 +10,7 @@
 
 /** Two hosts with the fastest and the slowest clock allowed; the fast one coordinates first. */
 export const SHARE_WORLD: ShareWorldOptions = {
-  settings: { ...DEFAULT_SHARES, ttlMs: 1000, driftBound: DRIFT },
+  settings: { ...DEFAULT_SHARE_SETTINGS, ttlMs: 1000, driftBound: DRIFT },
   rules: SHARE_RULES,
   rate: { tokensPerSecond: 100, burstTokens: 100 },
   clockRates: [1 + DRIFT, 1 - DRIFT],
--- a/packages/group/src/membership/GroupMember.ts
+++ b/packages/group/src/membership/GroupMember.ts
@@ -1,17 +1,23 @@
 import type { HostId, Millis } from '@camphorvane/core';
-import { actUntil, maySteward, withClosing, withConfirmation, withVouches } from './authority.ts';
-import { viewOf, stewardOf, type GroupView } from './GroupView.ts';
 import {
-  silentMembers,
+  getActExpiry,
+  mayCoordinate,
+  withPreviousEpochClosed,
+  withConfirmation,
+  withVouches,
+} from './authority.ts';
+import { createView, getCoordinator, type GroupView } from './GroupView.ts';
+import {
+  getTimedOutMembers,
   withEnded,
   withHello,
   withHostList,
-  withoutStrangers,
+  withoutStaleApplicants,
   withRecord,
   withReplacement,
-  withWaking,
+  withPauseDetection,
   withWelcome,
-} from './knowledge.ts';
+} from './stateUpdates.ts';
 import type { MemberEffect } from './MemberEffect.ts';
 import { memberKey, type MemberIdentity } from './MemberIdentity.ts';
 import type { MemberInput, ReadOutcome, WriteOutcome } from './MemberInput.ts';
@@ -21,8 +27,15 @@
   type MembershipRules,
   type MembershipSettings,
 } from './MembershipSettings.ts';
-import { hasEnded, initialState, knownEpochOf, type MemberState } from './MemberState.ts';
-import { backoff, firstRecord, isWriteDue, mayWrite, nextRecord, withWish } from './proposal.ts';
+import { hasEnded, initialState, getKnownEpoch, type MemberState } from './MemberState.ts';
+import {
+  getReadBackoffMs,
+  firstRecord,
+  isWriteDue,
+  mayWrite,
+  nextRecord,
+  withChangeWanted,
+} from './proposal.ts';
 
 interface Stepped {
   readonly state: MemberState;
@@ -74,22 +87,22 @@
 
   /** Gets this host's view of its group. */
   view(now: Millis): GroupView {
-    return viewOf(this.current, this.settings, this.rules, now);
+    return createView(this.current, this.settings, this.rules, now);
   }
 
   /** Gets the coordinator of a key in the newest known epoch; undefined in an empty group. */
-  stewardOf(key: string): HostId | undefined {
-    return stewardOf(key, { members: this.current.record?.members ?? [] });
+  coordinatorOf(key: string): HostId | undefined {
+    return getCoordinator(key, { members: this.current.record?.members ?? [] });
   }
 
   /** Tells whether this host may now act as the coordinator of a key. */
-  maySteward(key: string, now: Millis): boolean {
-    return maySteward(this.current, this.settings, this.rules, key, now);
+  mayCoordinate(key: string, now: Millis): boolean {
+    return mayCoordinate(this.current, this.settings, this.rules, key, now);
   }
 
   /** Gets the members that are timed out on this host. */
-  silent(now: Millis): readonly string[] {
-    return silentMembers(this.current, this.settings, now);
+  getTimedOut(now: Millis): readonly string[] {
+    return getTimedOutMembers(this.current, this.settings, now);
   }
 
   /**
@@ -101,8 +114,8 @@
    */
   step(input: MemberInput, now: Millis): readonly MemberEffect[] {
     const handled = this.handle(input, now);
-    const closing = withClosing(handled.state, this.rules, now);
-    const proposing = withWish(closing, this.settings, this.rules, now);
+    const closing = withPreviousEpochClosed(handled.state, this.rules, now);
+    const proposing = withChangeWanted(closing, this.settings, this.rules, now);
     const sent = this.sendHellos(proposing, now);
     this.current = sent.state;
     return [...handled.effects, ...sent.effects];
@@ -145,8 +158,8 @@
   }
 
   private handleTick(now: Millis): Stepped {
-    const awake = withWaking(this.current, this.settings, now);
-    const known = withoutStrangers(awake, this.settings, now);
+    const awake = withPauseDetection(this.current, this.settings, now);
+    const known = withoutStaleApplicants(awake, this.settings, now);
     const vouched = withVouches(known, this.rules, now);
     const read = this.readWhenDue(vouched, now);
     const hosts = this.readHostsWhenDue(read.state, now);
@@ -172,21 +185,23 @@
    * write is due.
    */
   private readInterval(state: MemberState, now: Millis): Millis {
-    const until = actUntil(state, this.settings);
+    const until = getActExpiry(state, this.settings);
     const isExpiring = until === undefined || until - now < this.settings.actForMs / 2;
     const isUrgent = isExpiring || isWriteDue(state, this.settings, this.rules, now);
     return isUrgent
-      ? backoff(state, this.settings)
-      : this.settings.platformReadMs * (1 + this.settings.jitter / 2);
+      ? getReadBackoffMs(state, this.settings)
+      : this.settings.recordReadIntervalMs * (1 + this.settings.jitter / 2);
   }
 
   private readHostsWhenDue(state: MemberState, now: Millis): Stepped {
     const members = state.record?.members ?? [];
     const isUrgent =
-      state.quorumAt === undefined ||
+      state.previousClosedAt === undefined ||
       members.some((member) => !member.listed) ||
-      silentMembers(state, this.settings, now).length > 0;
-    const period = isUrgent ? this.settings.urgentHostListMs : this.settings.hostListMs;
+      getTimedOutMembers(state, this.settings, now).length > 0;
+    const period = isUrgent
+      ? this.settings.urgentHostListIntervalMs
+      : this.settings.hostListIntervalMs;
     const spread = period * (1 + this.settings.jitter / 2);
     const isDue = state.lastHostsAt === undefined || now >= state.lastHostsAt + spread;
     if (!isDue || state.record === undefined) return { state, effects: [] };
@@ -208,7 +223,7 @@
       from: state.self,
       epoch,
       intent: state.intent,
-      silent: silentMembers(state, this.settings, now),
+      silent: getTimedOutMembers(state, this.settings, now),
       record: epoch > hello.epoch ? state.record : undefined,
     };
     const reply: MemberEffect = { type: 'reply', message };
@@ -250,7 +265,11 @@
         const adopted = withRecord({ ...idle, failedReads: 0 }, outcome.record, now);
         const isCurrent = adopted.record?.epoch === outcome.record.epoch;
         const state = isCurrent ? withConfirmation(adopted, pending.sentAt) : adopted;
-        return this.writeIfWanted(withClosing(state, this.rules, now), outcome.version, now);
+        return this.writeIfWanted(
+          withPreviousEpochClosed(state, this.rules, now),
+          outcome.version,
+          now,
+        );
       }
       default:
         return outcome satisfies never;
@@ -273,7 +292,7 @@
         ? this.write(state, firstRecord(state), expected, now)
         : { state, effects: [] };
     }
-    const proposed = withWish(state, settings, rules, now);
+    const proposed = withChangeWanted(state, settings, rules, now);
     const isDue = isWriteDue(proposed, settings, rules, now);
     const isRecordLost = expected === 'absent' && mayWrite(proposed, settings, rules, now);
     if (!isDue && !isRecordLost) return { state: proposed, effects: [] };
@@ -322,7 +341,7 @@
     if (record === undefined || now < state.nextHelloAt) return { state, effects: [] };
     const before = record.lineage.at(-1)?.members ?? [];
     const removed = before.filter(
-      (past) => !past.ended && knownEpochOf(state, past) < record.epoch,
+      (past) => !past.ended && getKnownEpoch(state, past) < record.epoch,
     );
     const targets = new Map(
       [...record.members, ...removed]
@@ -336,7 +355,7 @@
       sentAt: now,
       message,
     }));
-    const next = { ...state, nextHelloAt: now + this.settings.vouchPeriodMs };
+    const next = { ...state, nextHelloAt: now + this.settings.heartbeatIntervalMs };
     return { state: next, effects };
   }
 }
--- a/packages/group/src/membership/GroupView.ts
+++ b/packages/group/src/membership/GroupView.ts
@@ -1,9 +1,9 @@
 import type { HostId, Millis } from '@camphorvane/core';
-import { actUntil, mayAct, settledAt } from './authority.ts';
+import { getActExpiry, mayAct, getSettlingTime } from './authority.ts';
 import type { RecordMember } from './GroupRecord.ts';
 import type { MembershipRules, MembershipSettings } from './MembershipSettings.ts';
 import type { MemberState } from './MemberState.ts';
-import { stewardAmong } from './stewardAmong.ts';
+import { chooseCoordinator } from './chooseCoordinator.ts';
 
 /** A host's view of its group at one moment. */
 export interface GroupView {
@@ -23,7 +23,7 @@
 }
 
 /** Gets a member's view of its group. */
-export function viewOf(
+export function createView(
   state: MemberState,
   settings: MembershipSettings,
   rules: MembershipRules,
@@ -34,8 +34,8 @@
     epoch: state.record?.epoch ?? 0,
     members: state.record?.members ?? [],
     mayAct: mayAct(state, settings, now),
-    actUntil: actUntil(state, settings),
-    takeoverAt: settledAt(state, settings, rules),
+    actUntil: getActExpiry(state, settings),
+    takeoverAt: getSettlingTime(state, settings, rules),
   };
 }
 
@@ -46,6 +46,6 @@
  * @param view - The host's view of its group.
  * @returns The host, or undefined in an empty group.
  */
-export function stewardOf(key: string, view: Pick<GroupView, 'members'>): HostId | undefined {
-  return stewardAmong(key, view.members)?.host;
+export function getCoordinator(key: string, view: Pick<GroupView, 'members'>): HostId | undefined {
+  return chooseCoordinator(key, view.members)?.host;
 }
--- a/packages/group/src/membership/MemberState.ts
+++ b/packages/group/src/membership/MemberState.ts
@@ -4,7 +4,7 @@
 import type { MemberIntent } from './MembershipMessage.ts';
 
 /** State that a member keeps of one incarnation of another host. */
-export interface PeerKnowledge {
+export interface PeerState {
   readonly identity: MemberIdentity;
   /** When it became known; a new peer does not time out before it can answer. */
   readonly since: Millis;
@@ -41,8 +41,8 @@
   /** When the epoch, or an earlier one, was last known to be the newest. */
   readonly confirmedAt?: Millis;
   /** When a majority of the previous epoch was first known to have stopped vouching for it. */
-  readonly quorumAt?: Millis;
-  readonly peers: Readonly<Record<MemberKey, PeerKnowledge>>;
+  readonly previousClosedAt?: Millis;
+  readonly peers: Readonly<Record<MemberKey, PeerState>>;
   /** Incarnations that will never act or vouch again. */
   readonly ended: readonly MemberKey[];
   /** Members that have appeared in the platform's host list. */
@@ -61,7 +61,7 @@
   readonly lastHostsAt?: Millis;
   readonly lastTickAt: Millis;
   /** When the members first differed from the wanted ones. */
-  readonly wantSince?: Millis;
+  readonly changeWantedSince?: Millis;
 }
 
 /**
@@ -95,7 +95,7 @@
 }
 
 /** Gets the newest epoch that an incarnation has reported; this host's own epoch for itself. */
-export function knownEpochOf(state: MemberState, member: MemberIdentity): number {
+export function getKnownEpoch(state: MemberState, member: MemberIdentity): number {
   const key = memberKey(member);
   if (key === memberKey(state.self)) return state.record?.epoch ?? 0;
   return state.peers[key]?.epoch ?? 0;
--- a/packages/group/src/membership/MembershipSettings.ts
+++ b/packages/group/src/membership/MembershipSettings.ts
@@ -7,21 +7,21 @@
   /** Largest relative deviation of a host's clock rate from true time, such as 0.01. */
   readonly driftBound: number;
   /** Heartbeat interval to each other member. */
-  readonly vouchPeriodMs: Millis;
+  readonly heartbeatIntervalMs: Millis;
   /** Timeout without an answer after which a member is suspected to have failed. */
-  readonly suspectMs: Millis;
+  readonly suspectTimeoutMs: Millis;
   /** Interval between reads of the group's record in normal operation. */
-  readonly platformReadMs: Millis;
+  readonly recordReadIntervalMs: Millis;
   /** Base interval between reads when the permission to act is expiring or a write is due. */
-  readonly urgentReadMs: Millis;
+  readonly urgentReadIntervalMs: Millis;
   /** Interval between reads of the host list in normal operation. */
-  readonly hostListMs: Millis;
+  readonly hostListIntervalMs: Millis;
   /** Interval between reads of the host list while a member is timed out or not yet listed. */
-  readonly urgentHostListMs: Millis;
+  readonly urgentHostListIntervalMs: Millis;
   /** How long a host must be missing from the host list to count as gone; longer than its lag. */
   readonly goneAfterMs: Millis;
   /** Delay, per rank among the live members, before a member attempts a write that is due. */
-  readonly staggerMs: Millis;
+  readonly writeStaggerMs: Millis;
   /** Most members of a group; further hosts wait to join. */
   readonly maxMembers: number;
   /** Per-host number in [0, 1) that spreads the hosts' calls to the platform over time. */
@@ -36,17 +36,17 @@
  * intervals would cost proportionally more messages, and a long garbage collection pause would
  * count as a crash.
  */
-export const DEFAULT_MEMBERSHIP: MembershipSettings = {
+export const DEFAULT_MEMBERSHIP_SETTINGS: MembershipSettings = {
   actForMs: 2_000,
   driftBound: 0.01,
-  vouchPeriodMs: 500,
-  suspectMs: 1_600,
-  platformReadMs: 10_000,
-  urgentReadMs: 500,
-  hostListMs: 10_000,
-  urgentHostListMs: 2_500,
+  heartbeatIntervalMs: 500,
+  suspectTimeoutMs: 1_600,
+  recordReadIntervalMs: 10_000,
+  urgentReadIntervalMs: 500,
+  hostListIntervalMs: 10_000,
+  urgentHostListIntervalMs: 2_500,
   goneAfterMs: 15_000,
-  staggerMs: 400,
+  writeStaggerMs: 400,
   maxMembers: 9,
   jitter: 0,
 };
--- a/packages/group/src/membership/authority.ts
+++ b/packages/group/src/membership/authority.ts
@@ -2,8 +2,8 @@
 import { findMember, type PastEpoch } from './GroupRecord.ts';
 import { memberKey } from './MemberIdentity.ts';
 import type { MembershipRules, MembershipSettings } from './MembershipSettings.ts';
-import { hasEnded, knownEpochOf, type MemberState } from './MemberState.ts';
-import { stewardAmong } from './stewardAmong.ts';
+import { hasEnded, getKnownEpoch, type MemberState } from './MemberState.ts';
+import { chooseCoordinator } from './chooseCoordinator.ts';
 
 /** Tells whether this incarnation is a member of the newest epoch that it knows. */
 export function isMember(state: MemberState): boolean {
@@ -18,14 +18,14 @@
  *
  * @returns A time on the member's clock, or undefined if it may not act at all.
  */
-export function actUntil(state: MemberState, settings: MembershipSettings): Millis | undefined {
+export function getActExpiry(state: MemberState, settings: MembershipSettings): Millis | undefined {
   if (state.intent === 'leave' || !isMember(state)) return undefined;
   return state.confirmedAt === undefined ? undefined : state.confirmedAt + settings.actForMs;
 }
 
 /** Tells whether a member may act now. */
 export function mayAct(state: MemberState, settings: MembershipSettings, now: Millis): boolean {
-  const until = actUntil(state, settings);
+  const until = getActExpiry(state, settings);
   return until !== undefined && now < until;
 }
 
@@ -66,7 +66,8 @@
 /** Tells whether a majority of an earlier epoch is known to have stopped vouching for it. */
 function isClosed(state: MemberState, past: PastEpoch, rules: MembershipRules): boolean {
   const closed = past.members.filter(
-    (member) => member.ended || hasEnded(state, member) || knownEpochOf(state, member) > past.epoch,
+    (member) =>
+      member.ended || hasEnded(state, member) || getKnownEpoch(state, member) > past.epoch,
   );
   return closed.length >= rules.quorum(past.members.length);
 }
@@ -77,11 +78,15 @@
  * From then on no member of that epoch gets a new confirmation, and earlier ones expire within T
  * (`actForMs`).
  */
-export function withClosing(state: MemberState, rules: MembershipRules, now: Millis): MemberState {
-  if (state.record === undefined || state.quorumAt !== undefined) return state;
+export function withPreviousEpochClosed(
+  state: MemberState,
+  rules: MembershipRules,
+  now: Millis,
+): MemberState {
+  if (state.record === undefined || state.previousClosedAt !== undefined) return state;
   const before = state.record.lineage.at(-1);
   const closed = before === undefined || isClosed(state, before, rules);
-  return closed ? { ...state, quorumAt: now } : state;
+  return closed ? { ...state, previousClosedAt: now } : state;
 }
 
 /**
@@ -90,14 +95,14 @@
  * @returns A time on the member's clock, or undefined while no majority of the previous epoch is
  *   known to have ended it.
  */
-export function settledAt(
+export function getSettlingTime(
   state: MemberState,
   settings: MembershipSettings,
   rules: MembershipRules,
 ): Millis | undefined {
-  if (state.record === undefined || state.quorumAt === undefined) return undefined;
-  if (state.record.lineage.length === 0) return state.quorumAt;
-  return state.quorumAt + rules.takeoverWait(settings);
+  if (state.record === undefined || state.previousClosedAt === undefined) return undefined;
+  if (state.record.lineage.length === 0) return state.previousClosedAt;
+  return state.previousClosedAt + rules.takeoverWait(settings);
 }
 
 /** Tells whether no member acts under any earlier epoch any more. */
@@ -107,16 +112,16 @@
   rules: MembershipRules,
   now: Millis,
 ): boolean {
-  const at = settledAt(state, settings, rules);
+  const at = getSettlingTime(state, settings, rules);
   return at !== undefined && now >= at;
 }
 
 /** Tells whether a key's coordinator of an earlier epoch is known to have stopped. */
 function hasHandedOver(state: MemberState, key: string, past: PastEpoch): boolean {
-  const coordinator = stewardAmong(key, past.members);
+  const coordinator = chooseCoordinator(key, past.members);
   if (coordinator === undefined || memberKey(coordinator) === memberKey(state.self)) return true;
   if (coordinator.ended || hasEnded(state, coordinator)) return true;
-  return knownEpochOf(state, coordinator) > past.epoch;
+  return getKnownEpoch(state, coordinator) > past.epoch;
 }
 
 /**
@@ -126,7 +131,7 @@
  * starts only once each earlier one of the key has reported a later epoch or has ended, or after
  * the wait in which even an unreachable host has stopped by its own clock.
  */
-export function maySteward(
+export function mayCoordinate(
   state: MemberState,
   settings: MembershipSettings,
   rules: MembershipRules,
@@ -135,7 +140,7 @@
 ): boolean {
   const { record } = state;
   if (record === undefined || !mayAct(state, settings, now)) return false;
-  const coordinator = stewardAmong(key, record.members);
+  const coordinator = chooseCoordinator(key, record.members);
   if (coordinator === undefined || memberKey(coordinator) !== memberKey(state.self)) return false;
   if (isSettled(state, settings, rules, now)) return true;
   return record.lineage.every((past) => hasHandedOver(state, key, past));
--- a/packages/group/src/membership/stewardAmong.ts
+++ b/packages/group/src/membership/chooseCoordinator.ts
@@ -25,7 +25,7 @@
  * @param members - All members of the epoch.
  * @returns The coordinator, or undefined in an empty group.
  */
-export function stewardAmong<M extends RecordMember>(
+export function chooseCoordinator<M extends RecordMember>(
   key: string,
   members: readonly M[],
 ): M | undefined {
--- a/packages/group/src/membership/index.ts
+++ b/packages/group/src/membership/index.ts
@@ -1,4 +1,11 @@
-export { actUntil, isMember, isSettled, mayAct, maySteward, settledAt } from './authority.ts';
+export {
+  getActExpiry,
+  isMember,
+  isSettled,
+  mayAct,
+  mayCoordinate,
+  getSettlingTime,
+} from './authority.ts';
 export * from './GroupMember.ts';
 export {
   findMember,
@@ -16,4 +23,4 @@
 export * from './MembershipMessage.ts';
 export * from './MembershipSettings.ts';
 export { initialState, type MemberState } from './MemberState.ts';
-export * from './stewardAmong.ts';
+export * from './chooseCoordinator.ts';
--- a/packages/group/src/membership/proposal.ts
+++ b/packages/group/src/membership/proposal.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '@camphorvane/core';
 import type { GroupRecord, PastEpoch, RecordMember } from './GroupRecord.ts';
 import { isSettled } from './authority.ts';
-import { isHeard, isNamed, silentMembers } from './knowledge.ts';
+import { isResponsive, isMemberOf, getTimedOutMembers } from './stateUpdates.ts';
 import { memberKey, type MemberIdentity, type MemberKey } from './MemberIdentity.ts';
 import type { MembershipRules, MembershipSettings } from './MembershipSettings.ts';
 import { hasEnded, type MemberState } from './MemberState.ts';
@@ -26,8 +26,9 @@
 ): readonly MemberKey[] {
   const members = state.record?.members ?? [];
   const reports = members.map((member) => {
-    if (memberKey(member) === memberKey(state.self)) return silentMembers(state, settings, now);
-    const isFresh = isHeard(state, member, settings, now);
+    if (memberKey(member) === memberKey(state.self))
+      return getTimedOutMembers(state, settings, now);
+    const isFresh = isResponsive(state, member, settings, now);
     return isFresh ? (state.peers[memberKey(member)]?.silent ?? []) : [];
   });
   return members
@@ -65,12 +66,12 @@
       (peer) =>
         peer.intent === 'stay' &&
         peer.heardAt !== undefined &&
-        now - peer.heardAt <= settings.suspectMs &&
+        now - peer.heardAt <= settings.suspectTimeoutMs &&
         !hasEnded(state, peer.identity) &&
-        !isNamed(record, peer.identity),
+        !isMemberOf(record, peer.identity),
     )
     .map((peer) => peer.identity);
-  const isOutside = state.intent === 'stay' && !isNamed(record, state.self);
+  const isOutside = state.intent === 'stay' && !isMemberOf(record, state.self);
   const all = isOutside ? [...peers, state.self] : peers;
   return [...all].sort((a, b) => (memberKey(a) < memberKey(b) ? -1 : 1));
 }
@@ -119,7 +120,7 @@
 }
 
 /** Records when the group's members first differed from those that it should have. */
-export function withWish(
+export function withChangeWanted(
   state: MemberState,
   settings: MembershipSettings,
   rules: MembershipRules,
@@ -130,8 +131,8 @@
     wantedMembers(state, settings, rules, now),
     state.record.members,
   );
-  if (isAsWanted === (state.wantSince === undefined)) return state;
-  return { ...state, wantSince: isAsWanted ? undefined : now };
+  if (isAsWanted === (state.changeWantedSince === undefined)) return state;
+  return { ...state, changeWantedSince: isAsWanted ? undefined : now };
 }
 
 /**
@@ -150,11 +151,11 @@
 ): boolean {
   const { record } = state;
   if (record === undefined) return false;
-  if (rules.chained && state.quorumAt === undefined) return false;
+  if (rules.chained && state.previousClosedAt === undefined) return false;
   const lineage = nextLineage(state, record, settings, rules, now);
   if (lineage.length > MAX_LINEAGE) return false;
   const reachable = record.members.filter(
-    (member) => hasEnded(state, member) || isHeard(state, member, settings, now),
+    (member) => hasEnded(state, member) || isResponsive(state, member, settings, now),
   );
   return reachable.length >= rules.quorum(record.members.length);
 }
@@ -163,7 +164,7 @@
 function writerRank(state: MemberState, settings: MembershipSettings, now: Millis): number {
   const live = (state.record?.members ?? []).filter((member) => {
     const isSelf = memberKey(member) === memberKey(state.self);
-    return isSelf ? state.intent !== 'leave' : isHeard(state, member, settings, now);
+    return isSelf ? state.intent !== 'leave' : isResponsive(state, member, settings, now);
   });
   const rank = live.findIndex((member) => memberKey(member) === memberKey(state.self));
   return rank < 0 ? live.length : rank;
@@ -176,10 +177,10 @@
   rules: MembershipRules,
   now: Millis,
 ): boolean {
-  if (state.wantSince === undefined || !mayWrite(state, settings, rules, now)) return false;
+  if (state.changeWantedSince === undefined || !mayWrite(state, settings, rules, now)) return false;
   const rank = writerRank(state, settings, now);
-  const delayMs = rank === 0 ? 0 : (rank + settings.jitter) * settings.staggerMs;
-  return now >= state.wantSince + delayMs;
+  const delayMs = rank === 0 ? 0 : (rank + settings.jitter) * settings.writeStaggerMs;
+  return now >= state.changeWantedSince + delayMs;
 }
 
 function nextLineage(
@@ -229,7 +230,7 @@
 }
 
 /** Gets the exponential back-off between failed reads, which avoids a burst after an outage. */
-export function backoff(state: MemberState, settings: MembershipSettings): Millis {
+export function getReadBackoffMs(state: MemberState, settings: MembershipSettings): Millis {
   const factor = Math.min(MAX_BACKOFF, 2 ** state.failedReads);
-  return settings.urgentReadMs * factor * (1 + settings.jitter / 2);
+  return settings.urgentReadIntervalMs * factor * (1 + settings.jitter / 2);
 }
--- a/packages/group/src/membership/knowledge.ts
+++ b/packages/group/src/membership/stateUpdates.ts
@@ -4,7 +4,7 @@
 import { memberKey, type MemberIdentity, type MemberKey } from './MemberIdentity.ts';
 import type { Hello, MemberIntent, Welcome } from './MembershipMessage.ts';
 import type { MembershipSettings } from './MembershipSettings.ts';
-import { hasEnded, type MemberState, type PeerKnowledge } from './MemberState.ts';
+import { hasEnded, type MemberState, type PeerState } from './MemberState.ts';
 
 const INTENT_ORDER: readonly MemberIntent[] = ['stay', 'drain', 'leave'];
 
@@ -22,12 +22,12 @@
   return { ...state, ended: withKey(state.ended, memberKey(member)) };
 }
 
-function getOrCreatePeer(state: MemberState, identity: MemberIdentity, now: Millis): PeerKnowledge {
+function getOrCreatePeer(state: MemberState, identity: MemberIdentity, now: Millis): PeerState {
   const known = state.peers[memberKey(identity)];
   return known ?? { identity, since: now, epoch: 0, intent: 'stay', silent: [] };
 }
 
-function withPeer(state: MemberState, peer: PeerKnowledge): MemberState {
+function withPeer(state: MemberState, peer: PeerState): MemberState {
   const peers = { ...state.peers, [memberKey(peer.identity)]: peer };
   const next = { ...state, peers };
   return peer.intent === 'leave' ? withEnded(next, peer.identity) : next;
@@ -136,7 +136,7 @@
 }
 
 /** Drops hosts outside the group that have stopped asking to join. */
-export function withoutStrangers(
+export function withoutStaleApplicants(
   state: MemberState,
   settings: MembershipSettings,
   now: Millis,
@@ -145,7 +145,8 @@
   if (record === undefined) return state;
   const named = new Set(getAllMembers(record).map(memberKey));
   const kept = Object.entries(state.peers).filter(
-    ([key, peer]) => named.has(key) || now - (peer.heardAt ?? peer.since) <= settings.suspectMs,
+    ([key, peer]) =>
+      named.has(key) || now - (peer.heardAt ?? peer.since) <= settings.suspectTimeoutMs,
   );
   if (kept.length === Object.keys(state.peers).length) return state;
   return { ...state, peers: Object.fromEntries(kept) };
@@ -214,19 +215,19 @@
  *
  * To a process that was paused, every peer seems timed out; it must not have them removed.
  */
-export function withWaking(
+export function withPauseDetection(
   state: MemberState,
   settings: MembershipSettings,
   now: Millis,
 ): MemberState {
-  const wasPaused = now - state.lastTickAt > settings.suspectMs / 2;
+  const wasPaused = now - state.lastTickAt > settings.suspectTimeoutMs / 2;
   if (!wasPaused) return { ...state, lastTickAt: now };
   const peers = Object.entries(state.peers).map(([key, peer]) => [key, { ...peer, since: now }]);
   return { ...state, lastTickAt: now, peers: Object.fromEntries(peers) };
 }
 
 /** Gets the members that are timed out. */
-export function silentMembers(
+export function getTimedOutMembers(
   state: MemberState,
   settings: MembershipSettings,
   now: Millis,
@@ -235,12 +236,12 @@
   return members.map(memberKey).filter((key) => {
     const peer = state.peers[key];
     if (peer === undefined) return false;
-    return now - Math.max(peer.since, peer.answeredAt ?? peer.since) > settings.suspectMs;
+    return now - Math.max(peer.since, peer.answeredAt ?? peer.since) > settings.suspectTimeoutMs;
   });
 }
 
 /** Tells whether a member has answered within the timeout and is not known to have ended. */
-export function isHeard(
+export function isResponsive(
   state: MemberState,
   member: MemberIdentity,
   settings: MembershipSettings,
@@ -249,10 +250,10 @@
   if (memberKey(member) === memberKey(state.self)) return true;
   const answeredAt = state.peers[memberKey(member)]?.answeredAt;
   if (answeredAt === undefined || hasEnded(state, member)) return false;
-  return now - answeredAt <= settings.suspectMs;
+  return now - answeredAt <= settings.suspectTimeoutMs;
 }
 
 /** Tells whether an incarnation is a member in a record. */
-export function isNamed(record: GroupRecord, member: MemberIdentity): boolean {
+export function isMemberOf(record: GroupRecord, member: MemberIdentity): boolean {
   return findMember(record.members, member) !== undefined;
 }
--- a/packages/group/src/shares/StewardPair.ts
+++ b/packages/group/src/shares/CoordinatorSyncState.ts
@@ -1,7 +1,7 @@
 import type { Millis, TeamId } from '@camphorvane/core';
 
 /** State that a holder keeps of its exchange with one coordinator. */
-export interface StewardPair {
+export interface CoordinatorSyncState {
   readonly lastSync: number;
   readonly sentAt: Millis;
   readonly acked: number;
@@ -11,19 +11,19 @@
   readonly until: Millis;
   readonly session: number;
   /** Session for which the last message completed the list of held shares; 0 if it did not. */
-  readonly listed: number;
+  readonly lastListedSession: number;
   /** Teams reported in the last message. */
-  readonly inFlight: readonly TeamId[];
+  readonly reportedTeams: readonly TeamId[];
 }
 
 /** Initial state, before the first reply of a coordinator. */
-export const NEW_STEWARD_PAIR: StewardPair = {
+export const NEW_COORDINATOR_SYNC_STATE: CoordinatorSyncState = {
   lastSync: 0,
   sentAt: 0,
   acked: 0,
   epoch: 0,
   until: 0,
   session: 0,
-  listed: 0,
-  inFlight: [],
+  lastListedSession: 0,
+  reportedTeams: [],
 };
--- a/packages/group/src/shares/HeldShare.ts
+++ b/packages/group/src/shares/HeldShare.ts
@@ -1,17 +1,17 @@
 import type { Millis, TeamRate, Tokens } from '@camphorvane/core';
 import type { TeamGrant, GivenTokens, TeamReport } from './ShareMessage.ts';
-import { capOf, type Share, type ShareSettings } from './ShareSettings.ts';
-import { accrue, emptyBucket, pour, type TokenBucket } from './TokenBucket.ts';
+import { getBucketCapacity, type Share, type ShareSettings } from './ShareSettings.ts';
+import { accrueTokens, createEmptyBucket, addTokens, type TokenBucket } from './TokenBucket.ts';
 
 /** Share and tokens of one team on one host. */
 export interface HeldShare {
   readonly share: Share;
   readonly bucket: TokenBucket;
   /** Key of the coordinator that granted the share; `epoch` is that of its last grant. */
-  readonly steward?: string;
+  readonly grantor?: string;
   readonly epoch: number;
   /** Expiry of a grant of an earlier epoch, which replies no longer renew, on this host's clock. */
-  readonly frozenUntil: Millis;
+  readonly fixedExpiryAt: Millis;
   readonly demand: number;
   readonly demandAt: Millis;
   readonly given?: GivenTokens;
@@ -20,12 +20,12 @@
 }
 
 /** Creates the state of a team of which no share is held. */
-export function nothingHeld(now: Millis): HeldShare {
+export function createHeldShare(now: Millis): HeldShare {
   return {
     share: 0,
-    bucket: emptyBucket(now),
+    bucket: createEmptyBucket(now),
     epoch: 0,
-    frozenUntil: now,
+    fixedExpiryAt: now,
     demand: 0,
     demandAt: now,
     everHeld: false,
@@ -33,45 +33,46 @@
 }
 
 /** Drops an expired share with its tokens, since another host may hold it by now. */
-export function lapsed(held: HeldShare, now: Millis): HeldShare {
-  return { ...held, share: 0, bucket: emptyBucket(now), given: undefined };
+export function expireShare(held: HeldShare, now: Millis): HeldShare {
+  return { ...held, share: 0, bucket: createEmptyBucket(now), given: undefined };
 }
 
 /** Accrues the tokens earned up to `now`. */
-export function refreshed(
+export function accrueShare(
   held: HeldShare,
   rate: TeamRate,
   settings: ShareSettings,
   now: Millis,
 ): HeldShare {
-  return { ...held, bucket: accrue(held.bucket, held.share, rate, settings, now) };
+  return { ...held, bucket: accrueTokens(held.bucket, held.share, rate, settings, now) };
 }
 
 /** Estimates the demand at `now`, in tokens per second; it decays exponentially. */
-export function demandAt(held: HeldShare, settings: ShareSettings, now: Millis): number {
-  return held.demand * Math.exp(-(now - held.demandAt) / settings.demandMs);
+export function estimateDemand(held: HeldShare, settings: ShareSettings, now: Millis): number {
+  return held.demand * Math.exp(-(now - held.demandAt) / settings.demandTimeConstantMs);
 }
 
 /** Adds requested tokens to the demand, whether or not they were available. */
-export function withDemand(
+export function addDemand(
   held: HeldShare,
   tokens: Tokens,
   settings: ShareSettings,
   now: Millis,
 ): HeldShare {
-  const demand = demandAt(held, settings, now) + (tokens * 1000) / settings.demandMs;
+  const demand =
+    estimateDemand(held, settings, now) + (tokens * 1000) / settings.demandTimeConstantMs;
   return { ...held, demand, demandAt: now };
 }
 
 /** Takes tokens from the bucket; undefined if there are too few. */
-export function charged(held: HeldShare, tokens: Tokens): HeldShare | undefined {
+export function chargeTokens(held: HeldShare, tokens: Tokens): HeldShare | undefined {
   const level = held.bucket.level - tokens;
   return level < 0 ? undefined : { ...held, bucket: { ...held.bucket, level } };
 }
 
 /** Returns unused tokens to the bucket, up to the capacity of the share. */
-export function refunded(held: HeldShare, tokens: Tokens, rate: TeamRate): HeldShare {
-  return { ...held, bucket: pour(held.bucket, tokens, held.share, rate) };
+export function refundTokens(held: HeldShare, tokens: Tokens, rate: TeamRate): HeldShare {
+  return { ...held, bucket: addTokens(held.bucket, tokens, held.share, rate) };
 }
 
 /**
@@ -82,7 +83,7 @@
   const { level } = held.bucket;
   const cut = Math.max(0, held.share - grant.share);
   const proportional = held.share === 0 ? 0 : (level * cut) / held.share;
-  const excess = level - capOf(grant.share, rate);
+  const excess = level - getBucketCapacity(grant.share, rate);
   return Math.min(Math.ceil(Math.max(proportional, excess, 0)), Math.floor(level));
 }
 
@@ -98,28 +99,33 @@
  * @param id - Number that no earlier return of tokens to this coordinator had.
  * @returns The new state; `given` is set while returned tokens have yet to be reported.
  */
-export function granted(held: HeldShare, grant: TeamGrant, rate: TeamRate, id: number): HeldShare {
+export function applyGrant(
+  held: HeldShare,
+  grant: TeamGrant,
+  rate: TeamRate,
+  id: number,
+): HeldShare {
   const everHeld = held.everHeld || grant.share > 0;
   if (grant.reset) {
-    const bucket = pour({ ...held.bucket, level: 0 }, grant.tokens, grant.share, rate);
+    const bucket = addTokens({ ...held.bucket, level: 0 }, grant.tokens, grant.share, rate);
     return { ...held, share: grant.share, bucket, given: undefined, everHeld };
   }
   const tokens = tokensToReturn(held, grant, rate);
   const kept = { ...held.bucket, level: held.bucket.level - tokens };
-  const bucket = pour(kept, grant.tokens, grant.share, rate);
+  const bucket = addTokens(kept, grant.tokens, grant.share, rate);
   const given = tokens > 0 ? { id, tokens } : undefined;
   return { ...held, share: grant.share, bucket, given, everHeld };
 }
 
 /** Creates the report on a team for its coordinator. */
-export function reportOf(
+export function createReport(
   team: string,
   held: HeldShare,
   settings: ShareSettings,
   now: Millis,
 ): TeamReport {
   const { share, given } = held;
-  const demand = Math.round(demandAt(held, settings, now));
+  const demand = Math.round(estimateDemand(held, settings, now));
   const known = held.everHeld;
   return { team, share, level: Math.floor(held.bucket.level), demand, given, known };
 }
--- a/packages/group/src/shares/HolderPair.ts
+++ b/packages/group/src/shares/HolderSyncState.ts
@@ -1,7 +1,7 @@
 import type { Millis, TeamId } from '@camphorvane/core';
 
 /** State that a coordinator keeps of its exchange with one holder. */
-export interface HolderPair {
+export interface HolderSyncState {
   readonly lastSync: number;
   readonly repliedAt: Millis;
   readonly listedSession: number;
@@ -11,7 +11,7 @@
 }
 
 /** Initial state, before the first message of a holder. */
-export const NEW_HOLDER_PAIR: HolderPair = {
+export const NEW_HOLDER_SYNC_STATE: HolderSyncState = {
   lastSync: 0,
   repliedAt: 0,
   listedSession: 0,
--- a/packages/group/src/shares/UnsettledTeams.ts
+++ b/packages/group/src/shares/PendingRebalances.ts
@@ -4,7 +4,7 @@
  * Tracks for each holder the teams whose shares may be far from their targets, so that with each
  * message a coordinator rebalances only these and not all its idle teams.
  */
-export class UnsettledTeams {
+export class PendingRebalances {
   private readonly teams = new Map<string, Set<TeamId>>();
 
   /** Gets the tracked teams as plain values. */
@@ -13,8 +13,8 @@
   }
 
   /** Creates an independent copy. */
-  fork(): UnsettledTeams {
-    const copy = new UnsettledTeams();
+  fork(): PendingRebalances {
+    const copy = new PendingRebalances();
     this.teams.forEach((teams, holder) => copy.teams.set(holder, new Set(teams)));
     return copy;
   }
@@ -26,7 +26,7 @@
   }
 
   /** Marks a team for all holders. */
-  add(team: TeamId): void {
+  addForAll(team: TeamId): void {
     this.teams.forEach((teams) => teams.add(team));
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Gets the teams marked for one holder. */
-  of(holder: string): readonly TeamId[] {
+  getTeams(holder: string): readonly TeamId[] {
     return [...(this.teams.get(holder) ?? [])];
   }
 }
--- a/packages/group/src/shares/ShareSteward.ts
+++ b/packages/group/src/shares/ShareCoordinator.ts
@@ -1,32 +1,32 @@
 import type { Millis, TeamId, TeamRate } from '@camphorvane/core';
 import { allocate, type AllocationContext } from './allocation.ts';
-import { type HolderPair, NEW_HOLDER_PAIR } from './HolderPair.ts';
+import { type HolderSyncState, NEW_HOLDER_SYNC_STATE } from './HolderSyncState.ts';
 import type { ShareReply, ShareSync, TeamGrant, TeamReport } from './ShareMessage.ts';
-import { sameRate, SHARE_RULES, type ShareRules, type ShareSettings } from './ShareSettings.ts';
+import { isSameRate, SHARE_RULES, type ShareRules, type ShareSettings } from './ShareSettings.ts';
 import { mergeNudges, type ShareNudge } from './ShareNudge.ts';
-import type { StewardContext } from './StewardContext.ts';
+import type { CoordinatorContext } from './CoordinatorContext.ts';
 import {
-  emptyEntry,
-  openFirst,
-  openRecovering,
-  recorded,
-  refreshedLedger,
-  settled,
+  createEmptyEntry,
+  openFirstLedger,
+  openRecoveringLedger,
+  applyReport,
+  accrueLedger,
+  settlePendingGrant,
   type TeamLedger,
   withEntry,
   withoutHolder,
   withRecoveryEnded,
 } from './TeamLedger.ts';
-import { UnsettledTeams } from './UnsettledTeams.ts';
+import { PendingRebalances } from './PendingRebalances.ts';
 
 /** Reply to a holder, and the holders that should report at once. */
-export interface StewardAnswer {
+export interface ShareSyncResult {
   readonly reply: ShareReply;
   readonly nudges: readonly ShareNudge[];
 }
 
 /** Keeps the ledgers of the teams that this host coordinates, without I/O. */
-export class ShareSteward {
+export class ShareCoordinator {
   private readonly settings: ShareSettings;
 
   private readonly rules: ShareRules;
@@ -35,12 +35,12 @@
 
   private readonly ledgers = new Map<TeamId, TeamLedger>();
 
-  private readonly pairs = new Map<string, HolderPair>();
+  private readonly pairs = new Map<string, HolderSyncState>();
 
   private readonly recovering = new Set<TeamId>();
 
   /** Teams whose shares may be far from their targets at holders that do not report them. */
-  private pendingRebalances = new UnsettledTeams();
+  private pendingRebalances = new PendingRebalances();
 
   private session = 1;
 
@@ -52,8 +52,8 @@
   }
 
   /** Creates an independent copy. */
-  fork(): ShareSteward {
-    const copy = new ShareSteward(this.settings, this.rules);
+  fork(): ShareCoordinator {
+    const copy = new ShareCoordinator(this.settings, this.rules);
     copy.rates = this.rates;
     copy.session = this.session;
     copy.membersKey = this.membersKey;
@@ -65,11 +65,11 @@
   }
 
   /** Sets the rates in force; tokens up to `now` accrue at the old rates. */
-  setTeams(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
+  setRates(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
     this.ledgers.forEach((ledger, team) => {
       const old = this.rates.get(team);
-      if (old === undefined || sameRate(old, rates.get(team))) return;
-      this.ledgers.set(team, refreshedLedger(ledger, old, this.settings, now));
+      if (old === undefined || isSameRate(old, rates.get(team))) return;
+      this.ledgers.set(team, accrueLedger(ledger, old, this.settings, now));
     });
     this.rates = rates;
   }
@@ -94,14 +94,14 @@
    * @param now - Time on this host's clock.
    * @returns The reply; undefined for a message that arrived after a later one.
    */
-  answer(
+  handleSync(
     holder: string,
     sync: ShareSync,
-    ctx: StewardContext,
+    ctx: CoordinatorContext,
     now: Millis,
-  ): StewardAnswer | undefined {
+  ): ShareSyncResult | undefined {
     this.expire(now);
-    const pair = this.pairs.get(holder) ?? NEW_HOLDER_PAIR;
+    const pair = this.pairs.get(holder) ?? NEW_HOLDER_SYNC_STATE;
     if (sync.sync <= pair.lastSync) return undefined;
     this.trackMembers(ctx);
     this.settlePending(holder, pair, sync, now);
@@ -140,13 +140,13 @@
    * Opens the ledger of a team if this host may coordinate it, so that the shares of an idle team
    * are spread over the members before its first request.
    */
-  ensure(team: TeamId, ctx: StewardContext, now: Millis): void {
+  ensureTeam(team: TeamId, ctx: CoordinatorContext, now: Millis): void {
     if (this.rates.has(team)) this.ensureLedger(team, ctx, now);
   }
 
   private replyTo(
     { sync }: ShareSync,
-    { epoch }: StewardContext,
+    { epoch }: CoordinatorContext,
     grants: readonly TeamGrant[],
     declined: readonly TeamId[],
   ): ShareReply {
@@ -161,7 +161,7 @@
     expired.forEach(([holder]) => {
       this.ledgers.forEach((ledger, team) => this.freeShare(team, ledger, holder, now));
       this.pairs.set(holder, {
-        ...(this.pairs.get(holder) ?? NEW_HOLDER_PAIR),
+        ...(this.pairs.get(holder) ?? NEW_HOLDER_SYNC_STATE),
         repliedAt: Infinity,
       });
     });
@@ -170,68 +170,68 @@
   private freeShare(team: TeamId, ledger: TeamLedger, holder: string, now: Millis): void {
     if (ledger.entries[holder] === undefined) return;
     const rate = this.rates.get(team);
-    const base = rate === undefined ? ledger : refreshedLedger(ledger, rate, this.settings, now);
+    const base = rate === undefined ? ledger : accrueLedger(ledger, rate, this.settings, now);
     this.ledgers.set(team, withoutHolder(base, holder));
-    this.pendingRebalances.add(team);
+    this.pendingRebalances.addForAll(team);
   }
 
-  private trackMembers(ctx: StewardContext): void {
+  private trackMembers(ctx: CoordinatorContext): void {
     const key = ctx.members.join(' ');
     if (key === this.membersKey) return;
     this.membersKey = key;
     this.pendingRebalances.reset(ctx.members, [...this.ledgers.keys()]);
   }
 
-  private settlePending(holder: string, pair: HolderPair, sync: ShareSync, now: Millis): void {
+  private settlePending(holder: string, pair: HolderSyncState, sync: ShareSync, now: Millis): void {
     const applied = sync.acked === pair.lastSync;
     pair.pending.forEach((team) => {
       const ledger = this.ledgers.get(team);
       const rate = this.rates.get(team);
       if (ledger === undefined || rate === undefined) return;
-      const fresh = refreshedLedger(ledger, rate, this.settings, now);
-      this.ledgers.set(team, settled(fresh, holder, applied, rate));
+      const fresh = accrueLedger(ledger, rate, this.settings, now);
+      this.ledgers.set(team, settlePendingGrant(fresh, holder, applied, rate));
     });
   }
 
   /** Opens or keeps the ledger of a team; returns false if this host may not coordinate it. */
-  private ensureLedger(team: TeamId, ctx: StewardContext, now: Millis): boolean {
-    if (!ctx.maySteward(team)) return false;
+  private ensureLedger(team: TeamId, ctx: CoordinatorContext, now: Millis): boolean {
+    if (!ctx.mayCoordinate(team)) return false;
     const known = this.ledgers.get(team);
     if (known === undefined) this.open(team, ctx, now);
     else if (known.epoch !== ctx.epoch) {
       // Another coordinator may have granted meanwhile what this ledger still counts as free.
-      if (ctx.stewardThroughout(team, known.epoch)) {
+      if (ctx.isCoordinatorThroughout(team, known.epoch)) {
         this.ledgers.set(team, { ...known, epoch: ctx.epoch });
       } else this.open(team, ctx, now);
     }
     return true;
   }
 
-  private open(team: TeamId, ctx: StewardContext, now: Millis): void {
+  private open(team: TeamId, ctx: CoordinatorContext, now: Millis): void {
     const rate = this.rates.get(team) as TeamRate;
     this.session += 1;
     if (ctx.isFirstEpoch) {
-      this.ledgers.set(team, openFirst(team, this.session, ctx.epoch, rate, now));
+      this.ledgers.set(team, openFirstLedger(team, this.session, ctx.epoch, rate, now));
     } else {
       const until = now + this.rules.expiryWait(this.settings);
-      this.ledgers.set(team, openRecovering(team, this.session, ctx.epoch, until, now));
+      this.ledgers.set(team, openRecoveringLedger(team, this.session, ctx.epoch, until, now));
       this.recovering.add(team);
     }
-    this.pendingRebalances.add(team);
+    this.pendingRebalances.addForAll(team);
   }
 
   private handleReport(
     holder: string,
     report: TeamReport,
     sync: ShareSync,
-    ctx: StewardContext,
+    ctx: CoordinatorContext,
     now: Millis,
   ): { readonly grants: readonly TeamGrant[]; readonly nudges: readonly ShareNudge[] } {
     const { team } = report;
     const rate = this.rates.get(team) as TeamRate;
     const base = this.ledgers.get(team) as TeamLedger;
-    const fresh = refreshedLedger(base, rate, this.settings, now);
-    const record = recorded(fresh, holder, report, sync.session, rate, now);
+    const fresh = accrueLedger(base, rate, this.settings, now);
+    const record = applyReport(fresh, holder, report, sync.session, rate, now);
     this.ledgers.set(team, record.ledger);
     if (record.verdict === 'present_again') return { grants: [], nudges: [] };
     if (this.endsRecovery(record.ledger, ctx, now)) this.endRecovery(team, ctx, now);
@@ -245,7 +245,7 @@
   private allocate(
     team: TeamId,
     holder: string,
-    ctx: StewardContext,
+    ctx: CoordinatorContext,
     now: Millis,
   ): ReturnType<typeof allocate> {
     const ledger = this.ledgers.get(team) as TeamLedger;
@@ -253,11 +253,11 @@
     this.ledgers.set(team, allocation.ledger);
     this.pendingRebalances.remove(holder, team);
     if (allocation.grant.share < (ledger.entries[holder]?.share ?? 0))
-      this.pendingRebalances.add(team);
+      this.pendingRebalances.addForAll(team);
     return allocation;
   }
 
-  private contextOf(team: TeamId, ctx: StewardContext, now: Millis): AllocationContext {
+  private contextOf(team: TeamId, ctx: CoordinatorContext, now: Millis): AllocationContext {
     const { settings, rules } = this;
     return { rate: this.rates.get(team) as TeamRate, settings, rules, members: ctx.members, now };
   }
@@ -266,11 +266,11 @@
   private rebalanceUnreported(
     holder: string,
     reported: ReadonlySet<TeamId>,
-    ctx: StewardContext,
+    ctx: CoordinatorContext,
     now: Millis,
   ): readonly TeamGrant[] {
-    const teams = this.pendingRebalances.of(holder).filter((team) => !reported.has(team));
-    return teams.slice(0, this.settings.maxEntries).flatMap((team) => {
+    const teams = this.pendingRebalances.getTeams(holder).filter((team) => !reported.has(team));
+    return teams.slice(0, this.settings.maxTeamsPerMessage).flatMap((team) => {
       this.pendingRebalances.remove(holder, team);
       const ledger = this.ledgers.get(team);
       if (ledger === undefined || !this.rates.has(team)) return [];
@@ -282,36 +282,36 @@
   private rebalance(
     team: TeamId,
     holder: string,
-    ctx: StewardContext,
+    ctx: CoordinatorContext,
     now: Millis,
   ): readonly TeamGrant[] {
     const rate = this.rates.get(team) as TeamRate;
-    const ledger = refreshedLedger(this.ledgers.get(team) as TeamLedger, rate, this.settings, now);
+    const ledger = accrueLedger(this.ledgers.get(team) as TeamLedger, rate, this.settings, now);
     const known = ledger.entries[holder];
     if (known === undefined && ledger.recoveringUntil !== undefined) return [];
-    this.ledgers.set(team, withEntry(ledger, holder, known ?? emptyEntry(now)));
+    this.ledgers.set(team, withEntry(ledger, holder, known ?? createEmptyEntry(now)));
     const { grant } = this.allocate(team, holder, ctx, now);
     const isSame = grant.share === (known?.share ?? 0) && grant.tokens === 0;
     return isSame ? [] : [grant];
   }
 
   private trackPending(holder: string, grants: readonly TeamGrant[]): void {
-    const pair = this.pairs.get(holder) ?? NEW_HOLDER_PAIR;
+    const pair = this.pairs.get(holder) ?? NEW_HOLDER_SYNC_STATE;
     const pending = grants
       .filter(({ team }) => this.ledgers.get(team)?.entries[holder]?.pending !== undefined)
       .map((grant) => grant.team);
     this.pairs.set(holder, { ...pair, pending });
   }
 
-  private endsRecovery(ledger: TeamLedger, ctx: StewardContext, now: Millis): boolean {
+  private endsRecovery(ledger: TeamLedger, ctx: CoordinatorContext, now: Millis): boolean {
     if (ledger.recoveringUntil === undefined) return false;
     return now > ledger.recoveringUntil || this.allListed(ledger, ctx);
   }
 
-  private allListed(ledger: TeamLedger, ctx: StewardContext): boolean {
+  private allListed(ledger: TeamLedger, ctx: CoordinatorContext): boolean {
     // No unreported share can be left once every possible holder has listed its shares.
     return (
-      ctx.mayHold?.every((key) => {
+      ctx.possibleHolders?.every((key) => {
         const pair = this.pairs.get(key);
         if (pair === undefined || pair.listedEpoch !== ctx.epoch) return false;
         return pair.listedSession >= ledger.session;
@@ -319,7 +319,7 @@
     );
   }
 
-  private endRecoveries(ctx: StewardContext, now: Millis): void {
+  private endRecoveries(ctx: CoordinatorContext, now: Millis): void {
     [...this.recovering]
       .filter((team) => {
         const ledger = this.ledgers.get(team);
@@ -328,14 +328,14 @@
       .forEach((team) => this.endRecovery(team, ctx, now));
   }
 
-  private endRecovery(team: TeamId, ctx: StewardContext, now: Millis): void {
+  private endRecovery(team: TeamId, ctx: CoordinatorContext, now: Millis): void {
     this.recovering.delete(team);
     const ledger = this.ledgers.get(team);
     const rate = this.rates.get(team);
     if (ledger === undefined || rate === undefined) return;
-    const fresh = refreshedLedger(ledger, rate, this.settings, now);
-    const isComplete = ctx.isWholeHistory && this.allListed(fresh, ctx);
+    const fresh = accrueLedger(ledger, rate, this.settings, now);
+    const isComplete = ctx.isHistoryComplete && this.allListed(fresh, ctx);
     this.ledgers.set(team, withRecoveryEnded(fresh, rate, isComplete));
-    this.pendingRebalances.add(team);
+    this.pendingRebalances.addForAll(team);
   }
 }
--- a/packages/group/src/shares/ShareHolder.ts
+++ b/packages/group/src/shares/ShareHolder.ts
@@ -1,22 +1,22 @@
 import type { Millis, TeamId, TeamRate, Tokens } from '@camphorvane/core';
 import {
-  charged,
-  demandAt,
-  granted,
+  chargeTokens,
+  estimateDemand,
+  applyGrant,
   type HeldShare,
-  lapsed,
-  nothingHeld,
-  refreshed,
-  refunded,
-  reportOf,
-  withDemand,
+  expireShare,
+  createHeldShare,
+  accrueShare,
+  refundTokens,
+  createReport,
+  addDemand,
 } from './HeldShare.ts';
 import type { ShareReply, ShareSync } from './ShareMessage.ts';
-import { NEW_STEWARD_PAIR, type StewardPair } from './StewardPair.ts';
-import { sameRate, SHARE_RULES, type ShareRules, type ShareSettings } from './ShareSettings.ts';
+import { NEW_COORDINATOR_SYNC_STATE, type CoordinatorSyncState } from './CoordinatorSyncState.ts';
+import { isSameRate, SHARE_RULES, type ShareRules, type ShareSettings } from './ShareSettings.ts';
 
 /** Gets the key of a team's coordinator under the newest epoch that this host knows. */
-export type StewardLookup = (team: TeamId) => string | undefined;
+export type CoordinatorLookup = (team: TeamId) => string | undefined;
 
 /** Result of a charge. */
 export type ChargeOutcome =
@@ -28,7 +28,7 @@
 /** State of a {@link ShareHolder} as plain values, which the model checker can copy. */
 export interface ShareHolderState {
   readonly held: ReadonlyMap<TeamId, HeldShare>;
-  readonly pairs: ReadonlyMap<string, StewardPair>;
+  readonly pairs: ReadonlyMap<string, CoordinatorSyncState>;
   readonly dirty: ReadonlySet<TeamId>;
   readonly unlisted: ReadonlyMap<string, ReadonlySet<TeamId>>;
 }
@@ -49,7 +49,7 @@
 
   private readonly held = new Map<TeamId, HeldShare>();
 
-  private readonly pairs = new Map<string, StewardPair>();
+  private readonly pairs = new Map<string, CoordinatorSyncState>();
 
   private readonly dirty = new Set<TeamId>();
 
@@ -81,10 +81,10 @@
    * Sets the rates in force. Shares are fractions of the rate and stay as they are; tokens up to
    * `now` accrue at the old rates.
    */
-  setTeams(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
+  setRates(rates: ReadonlyMap<TeamId, TeamRate>, now: Millis): void {
     [...this.held.keys()]
-      .filter((team) => !sameRate(this.rates.get(team), rates.get(team)))
-      .forEach((team) => this.current(team, now));
+      .filter((team) => !isSameRate(this.rates.get(team), rates.get(team)))
+      .forEach((team) => this.getHeldShare(team, now));
     this.rates = rates;
     [...this.held.keys()].filter((team) => !rates.has(team)).forEach((team) => this.forget(team));
   }
@@ -92,20 +92,20 @@
   /** Gets the expiry of a team's grant, on this host's clock. */
   validUntil(team: TeamId): Millis {
     const held = this.held.get(team);
-    if (held?.steward === undefined) return -Infinity;
-    const pair = this.pairs.get(held.steward);
-    return pair !== undefined && pair.epoch === held.epoch ? pair.until : held.frozenUntil;
+    if (held?.grantor === undefined) return -Infinity;
+    const pair = this.pairs.get(held.grantor);
+    return pair !== undefined && pair.epoch === held.epoch ? pair.until : held.fixedExpiryAt;
   }
 
   /** Gets the held share of a team, accrued and expired at `now`; undefined for unknown teams. */
-  current(team: TeamId, now: Millis): HeldShare | undefined {
+  getHeldShare(team: TeamId, now: Millis): HeldShare | undefined {
     const rate = this.rates.get(team);
     if (rate === undefined) return undefined;
-    const held = this.held.get(team) ?? nothingHeld(now);
+    const held = this.held.get(team) ?? createHeldShare(now);
     // After a pause, another host may have the share by now; without this check both would admit
     // requests on it.
     const isExpired = this.rules.checksExpiry && held.share > 0 && now >= this.validUntil(team);
-    const next = isExpired ? lapsed(held, now) : refreshed(held, rate, this.settings, now);
+    const next = isExpired ? expireShare(held, now) : accrueShare(held, rate, this.settings, now);
     if (isExpired) this.dirty.add(team);
     this.held.set(team, next);
     return next;
@@ -120,10 +120,10 @@
    * @returns Whether the request was charged, or how many tokens are missing.
    */
   charge(team: TeamId, tokens: Tokens, now: Millis): ChargeOutcome {
-    const held = this.current(team, now);
+    const held = this.getHeldShare(team, now);
     if (held === undefined) return { type: 'unknown_team' };
     this.dirty.add(team);
-    const next = charged(held, tokens);
+    const next = chargeTokens(held, tokens);
     if (next !== undefined) {
       this.held.set(team, next);
       return { type: 'charged' };
@@ -133,17 +133,17 @@
   }
 
   /** Adds a request to the demand of its team, so that shares move to where there is demand. */
-  demand(team: TeamId, tokens: Tokens, now: Millis): void {
-    const held = this.current(team, now);
-    if (held !== undefined) this.held.set(team, withDemand(held, tokens, this.settings, now));
+  recordDemand(team: TeamId, tokens: Tokens, now: Millis): void {
+    const held = this.getHeldShare(team, now);
+    if (held !== undefined) this.held.set(team, addDemand(held, tokens, this.settings, now));
   }
 
   /** Refunds the tokens that a charged request did not use. */
   refund(team: TeamId, tokens: Tokens, now: Millis): void {
-    const held = this.current(team, now);
+    const held = this.getHeldShare(team, now);
     const rate = this.rates.get(team);
     if (held === undefined || rate === undefined) return;
-    this.held.set(team, refunded(held, tokens, rate));
+    this.held.set(team, refundTokens(held, tokens, rate));
     this.dirty.add(team);
   }
 
@@ -153,17 +153,17 @@
    */
   dropAll(now: Millis): void {
     this.held.forEach((held, team) => {
-      this.held.set(team, lapsed(held, now));
+      this.held.set(team, expireShare(held, now));
       this.dirty.add(team);
     });
   }
 
   /** Marks all held shares to be reported to the coordinators of a new epoch. */
-  epochChanged(): void {
+  handleEpochChange(): void {
     this.held.forEach((held, team) => {
       if (held.everHeld) this.dirty.add(team);
     });
-    this.pairs.forEach((pair, key) => this.pairs.set(key, { ...pair, listed: 0 }));
+    this.pairs.forEach((pair, key) => this.pairs.set(key, { ...pair, lastListedSession: 0 }));
   }
 
   /**
@@ -173,11 +173,11 @@
    * @returns The number of tokens lent.
    */
   lend(team: TeamId, tokens: Tokens, now: Millis): Tokens {
-    const held = this.current(team, now);
+    const held = this.getHeldShare(team, now);
     if (held === undefined) return 0;
-    const keep = (demandAt(held, this.settings, now) * this.settings.keepMs) / 1000;
+    const keep = (estimateDemand(held, this.settings, now) * this.settings.lendReserveMs) / 1000;
     const lent = Math.floor(Math.max(0, Math.min(tokens, held.bucket.level - keep)));
-    const next = charged(held, lent);
+    const next = chargeTokens(held, lent);
     if (next !== undefined) this.held.set(team, next);
     return next === undefined ? 0 : lent;
   }
@@ -188,35 +188,35 @@
    *
    * @returns Whether there were enough tokens.
    */
-  chargeWith(team: TeamId, tokens: Tokens, borrowed: Tokens, now: Millis): boolean {
-    const held = this.current(team, now);
+  chargeWithBorrowed(team: TeamId, tokens: Tokens, borrowed: Tokens, now: Millis): boolean {
+    const held = this.getHeldShare(team, now);
     const rate = this.rates.get(team);
     if (held === undefined || rate === undefined) return false;
-    const next = charged(held, Math.max(0, tokens - borrowed));
+    const next = chargeTokens(held, Math.max(0, tokens - borrowed));
     if (next === undefined) return false;
-    this.held.set(team, refunded(next, Math.max(0, borrowed - tokens), rate));
+    this.held.set(team, refundTokens(next, Math.max(0, borrowed - tokens), rate));
     return true;
   }
 
   /** Marks a team to be reported. */
-  touch(team: TeamId, now: Millis): void {
-    if (this.current(team, now) !== undefined) this.dirty.add(team);
+  markDirty(team: TeamId, now: Millis): void {
+    if (this.getHeldShare(team, now) !== undefined) this.dirty.add(team);
   }
 
   /** Tells whether returned tokens of a team have yet to be reported. */
-  hasGift(team: TeamId): boolean {
+  hasUnreportedReturn(team: TeamId): boolean {
     return this.held.get(team)?.given !== undefined;
   }
 
   /** Tells whether some held share has yet to be reported to a coordinator. */
-  hasUnlisted(coordinator: string): boolean {
+  hasUnreportedShares(coordinator: string): boolean {
     const pair = this.pairs.get(coordinator);
-    if (pair !== undefined && pair.listed < pair.session) return true;
+    if (pair !== undefined && pair.lastListedSession < pair.session) return true;
     return (this.unlisted.get(coordinator)?.size ?? 0) > 0;
   }
 
   /** Gets the teams that have something to report. */
-  changedTeams(): ReadonlySet<TeamId> {
+  getDirtyTeams(): ReadonlySet<TeamId> {
     return this.dirty;
   }
 
@@ -233,13 +233,18 @@
    * @param lookup - Gets each team's coordinator under that epoch.
    * @param now - Time on this host's clock.
    */
-  sync(coordinator: string, epoch: number, lookup: StewardLookup, now: Millis): ShareSync {
-    const pair = this.pairs.get(coordinator) ?? NEW_STEWARD_PAIR;
+  createSync(
+    coordinator: string,
+    epoch: number,
+    lookup: CoordinatorLookup,
+    now: Millis,
+  ): ShareSync {
+    const pair = this.pairs.get(coordinator) ?? NEW_COORDINATOR_SYNC_STATE;
     const unlisted = this.unlisted.get(coordinator) ?? new Set<TeamId>();
     const own = [...new Set([...unlisted, ...this.dirty])].filter(
       (team) => lookup(team) === coordinator && this.rates.has(team),
     );
-    const teams = own.slice(0, this.settings.maxEntries);
+    const teams = own.slice(0, this.settings.maxTeamsPerMessage);
     const isListed = own.length <= teams.length && pair.session > 0;
     const reports = teams.map((team) => this.report(team, coordinator, now));
     teams.forEach((team) => this.dirty.delete(team));
@@ -247,18 +252,18 @@
     const listedSession = isListed ? pair.session : 0;
     this.pairs.set(coordinator, {
       ...pair,
-      ...{ lastSync, sentAt: now, inFlight: teams, listed: listedSession },
+      ...{ lastSync, sentAt: now, reportedTeams: teams, lastListedSession: listedSession },
     });
     const { acked, session } = pair;
     return { sync: lastSync, acked, epoch, session, listedSession, reports };
   }
 
   /** Marks the teams of the last message to be reported again, since it got no reply. */
-  failed(coordinator: string): void {
+  handleSyncFailure(coordinator: string): void {
     const pair = this.pairs.get(coordinator);
     if (pair === undefined) return;
-    pair.inFlight.forEach((team) => this.dirty.add(team));
-    this.pairs.set(coordinator, { ...pair, listed: 0 });
+    pair.reportedTeams.forEach((team) => this.dirty.add(team));
+    this.pairs.set(coordinator, { ...pair, lastListedSession: 0 });
   }
 
   /**
@@ -266,10 +271,10 @@
    *
    * @returns The grants that were applied.
    */
-  apply(
+  applyReply(
     coordinator: string,
     reply: ShareReply,
-    lookup: StewardLookup,
+    lookup: CoordinatorLookup,
     now: Millis,
   ): readonly ShareReply['grants'][number][] {
     const pair = this.pairs.get(coordinator);
@@ -291,18 +296,18 @@
   }
 
   private report(team: TeamId, coordinator: string, now: Millis): ShareSync['reports'][number] {
-    const held = this.current(team, now) as HeldShare;
+    const held = this.getHeldShare(team, now) as HeldShare;
     // Tokens returned to an earlier coordinator are lost, since it may have counted them or not.
-    const hasMoved = held.steward !== undefined && held.steward !== coordinator;
-    return reportOf(team, hasMoved ? { ...held, given: undefined } : held, this.settings, now);
+    const hasMoved = held.grantor !== undefined && held.grantor !== coordinator;
+    return createReport(team, hasMoved ? { ...held, given: undefined } : held, this.settings, now);
   }
 
   /** Fixes the expiry of grants of an earlier epoch, which later replies must not extend. */
   private freeze(coordinator: string, until: Millis): void {
     this.held.forEach((held, team) => {
       const pair = this.pairs.get(coordinator);
-      if (held.steward !== coordinator || pair?.epoch !== held.epoch) return;
-      this.held.set(team, { ...held, frozenUntil: until });
+      if (held.grantor !== coordinator || pair?.epoch !== held.epoch) return;
+      this.held.set(team, { ...held, fixedExpiryAt: until });
       this.dirty.add(team);
     });
   }
@@ -310,11 +315,11 @@
   private relist(
     coordinator: string,
     all: boolean,
-    pair: StewardPair,
-    lookup: StewardLookup,
+    pair: CoordinatorSyncState,
+    lookup: CoordinatorLookup,
   ): void {
     const kept = this.unlisted.get(coordinator) ?? new Set<TeamId>();
-    pair.inFlight.forEach((team) => kept.delete(team));
+    pair.reportedTeams.forEach((team) => kept.delete(team));
     if (all) {
       this.held.forEach((held, team) => {
         if (held.everHeld && lookup(team) === coordinator) kept.add(team);
@@ -324,19 +329,19 @@
   }
 
   private receiveGrant(
-    steward: string,
+    grantor: string,
     reply: ShareReply,
     grant: ShareReply['grants'][number],
-    pair: StewardPair,
+    pair: CoordinatorSyncState,
     now: Millis,
   ): boolean {
     const rate = this.rates.get(grant.team);
-    const held = this.current(grant.team, now);
+    const held = this.getHeldShare(grant.team, now);
     if (rate === undefined || held === undefined) return false;
-    const wasReported = pair.inFlight.includes(grant.team);
+    const wasReported = pair.reportedTeams.includes(grant.team);
     const base = wasReported ? { ...held, given: undefined } : held;
-    const next = granted(base, grant, rate, reply.sync);
-    this.held.set(grant.team, { ...next, steward, epoch: reply.epoch });
+    const next = applyGrant(base, grant, rate, reply.sync);
+    this.held.set(grant.team, { ...next, grantor, epoch: reply.epoch });
     if (next.given !== undefined || next.share < held.share) this.dirty.add(grant.team);
     return true;
   }
--- a/packages/group/src/shares/ShareSettings.ts
+++ b/packages/group/src/shares/ShareSettings.ts
@@ -13,19 +13,19 @@
   /** Largest relative deviation of a host's clock rate from true time, such as 0.001. */
   readonly driftBound: number;
   /** Interval at which a holder reports changed teams. */
-  readonly periodMs: Millis;
+  readonly reportIntervalMs: Millis;
   /** Interval at which it reports to a coordinator when nothing has changed. */
-  readonly renewMs: Millis;
+  readonly renewIntervalMs: Millis;
   /** Time constant of the exponentially decaying demand estimate. */
-  readonly demandMs: Millis;
+  readonly demandTimeConstantMs: Millis;
   /** Fraction of the rate that counts as demand spread evenly over all members. */
-  readonly evenPart: number;
+  readonly evenFraction: number;
   /** Smallest deviation from its target for which a share is moved. */
-  readonly smallestMove: Share;
+  readonly minMove: Share;
   /** Tokens that a holder keeps when it lends, as milliseconds of its own demand. */
-  readonly keepMs: Millis;
+  readonly lendReserveMs: Millis;
   /** Most teams in one message. */
-  readonly maxEntries: number;
+  readonly maxTeamsPerMessage: number;
 }
 
 /**
@@ -35,16 +35,16 @@
  * is spread evenly because a crash of the only host that a team uses would otherwise block nearly
  * all of its rate until the grants expire; shares of other hosts can be borrowed from at once.
  */
-export const DEFAULT_SHARES: ShareSettings = {
+export const DEFAULT_SHARE_SETTINGS: ShareSettings = {
   ttlMs: 8_000,
   driftBound: 0.001,
-  periodMs: 200,
-  renewMs: 2_000,
-  demandMs: 4_000,
-  evenPart: 0.3,
-  smallestMove: SHARE_UNITS / 40,
-  keepMs: 100,
-  maxEntries: 400,
+  reportIntervalMs: 200,
+  renewIntervalMs: 2_000,
+  demandTimeConstantMs: 4_000,
+  evenFraction: 0.3,
+  minMove: SHARE_UNITS / 40,
+  lendReserveMs: 100,
+  maxTeamsPerMessage: 400,
 };
 
 /**
@@ -70,11 +70,11 @@
 };
 
 /** Gets the bucket capacity of a share, in tokens. */
-export function capOf(share: Share, rate: TeamRate): number {
+export function getBucketCapacity(share: Share, rate: TeamRate): number {
   return (share / SHARE_UNITS) * rate.burstTokens;
 }
 
 /** Tells whether two rates are equal; an undefined rate equals only another one. */
-export function sameRate(a: TeamRate | undefined, b: TeamRate | undefined): boolean {
+export function isSameRate(a: TeamRate | undefined, b: TeamRate | undefined): boolean {
   return a?.tokensPerSecond === b?.tokensPerSecond && a?.burstTokens === b?.burstTokens;
 }
--- a/packages/group/src/shares/TeamLedger.ts
+++ b/packages/group/src/shares/TeamLedger.ts
@@ -1,7 +1,7 @@
 import type { Millis, TeamId, TeamRate, Tokens } from '@camphorvane/core';
 import type { TeamReport } from './ShareMessage.ts';
 import { type Share, SHARE_UNITS, type ShareSettings } from './ShareSettings.ts';
-import { accrue, emptyBucket, pour, type TokenBucket } from './TokenBucket.ts';
+import { accrueTokens, createEmptyBucket, addTokens, type TokenBucket } from './TokenBucket.ts';
 
 /** A grant of which it is not yet known whether the holder applied it. */
 export interface PendingGrant {
@@ -38,19 +38,19 @@
 }
 
 /** Opens the ledger of a team whose shares other hosts may still hold. */
-export function openRecovering(
+export function openRecoveringLedger(
   team: TeamId,
   session: number,
   epoch: number,
   until: Millis,
   now: Millis,
 ): TeamLedger {
-  const bucket = emptyBucket(now);
+  const bucket = createEmptyBucket(now);
   return { team, session, epoch, recoveringUntil: until, free: 0, bucket, entries: {} };
 }
 
 /** Opens the ledger of a team in a group's first epoch, when no host can hold a share. */
-export function openFirst(
+export function openFirstLedger(
   team: TeamId,
   session: number,
   epoch: number,
@@ -62,22 +62,22 @@
 }
 
 /** Gets the sum of the granted shares. */
-export function grantedShare(ledger: TeamLedger): Share {
+export function sumGrantedShares(ledger: TeamLedger): Share {
   return Object.values(ledger.entries).reduce((sum, entry) => sum + entry.share, 0);
 }
 
 /** Accrues the tokens of the free bucket up to `now`. */
-export function refreshedLedger(
+export function accrueLedger(
   ledger: TeamLedger,
   rate: TeamRate,
   settings: ShareSettings,
   now: Millis,
 ): TeamLedger {
-  return { ...ledger, bucket: accrue(ledger.bucket, ledger.free, rate, settings, now) };
+  return { ...ledger, bucket: accrueTokens(ledger.bucket, ledger.free, rate, settings, now) };
 }
 
 /** Creates the entry of a holder without a share. */
-export function emptyEntry(now: Millis): LedgerEntry {
+export function createEmptyEntry(now: Millis): LedgerEntry {
   return {
     ...{ share: 0, level: 0, demand: 0 },
     ...{ reportedAt: now, givenId: 0, known: false },
@@ -104,7 +104,7 @@
   isComplete: boolean,
 ): TeamLedger {
   if (ledger.recoveringUntil === undefined) return ledger;
-  const free = SHARE_UNITS - grantedShare(ledger);
+  const free = SHARE_UNITS - sumGrantedShares(ledger);
   const isNew = isComplete && Object.values(ledger.entries).every((entry) => !entry.known);
   const level = isNew ? rate.burstTokens : ledger.bucket.level;
   return { ...ledger, recoveringUntil: undefined, free, bucket: { ...ledger.bucket, level } };
@@ -122,7 +122,7 @@
  * Settles the pending grant once the holder's next message shows whether it was applied. A grant
  * not applied by then never will be, since a holder accepts only the reply to its latest message.
  */
-export function settled(
+export function settlePendingGrant(
   ledger: TeamLedger,
   holder: string,
   applied: boolean,
@@ -133,7 +133,7 @@
   const { pending, ...rest } = entry;
   if (applied) return withEntry(ledger, holder, rest);
   const free = ledger.free + pending.share;
-  const bucket = pour(ledger.bucket, pending.tokens, free, rate);
+  const bucket = addTokens(ledger.bucket, pending.tokens, free, rate);
   const reverted = { ...rest, share: rest.share - pending.share };
   return withEntry({ ...ledger, free, bucket }, holder, reverted);
 }
@@ -144,7 +144,7 @@
 }
 
 /** Result of a report; `void` if the claimed share is not known to have been granted. */
-export interface Recorded {
+export interface ReportResult {
   readonly ledger: TeamLedger;
   readonly verdict: 'known' | 'void' | 'present_again';
 }
@@ -156,7 +156,7 @@
   report: TeamReport,
   session: number,
   now: Millis,
-): Recorded {
+): ReportResult {
   const entry = entryOf(report, 0, now);
   const empty = withEntry(ledger, holder, { ...entry, share: 0, level: 0 });
   if (report.share === 0) return { ledger: empty, verdict: 'known' };
@@ -164,7 +164,7 @@
   // A report sent before the takeover may be older than the expiry of its grant, and the earlier
   // coordinator may have granted the same share to another host since: it must be sent again.
   if (session < ledger.session) return { ledger, verdict: 'present_again' };
-  if (grantedShare(ledger) + ledger.free + report.share > SHARE_UNITS) {
+  if (sumGrantedShares(ledger) + ledger.free + report.share > SHARE_UNITS) {
     return { ledger: empty, verdict: 'void' };
   }
   return { ledger: withEntry(ledger, holder, entry), verdict: 'known' };
@@ -181,14 +181,14 @@
  * @param now - Time on this host's clock.
  * @returns The updated ledger, and whether the claimed share is accepted.
  */
-export function recorded(
+export function applyReport(
   ledger: TeamLedger,
   holder: string,
   report: TeamReport,
   session: number,
   rate: TeamRate,
   now: Millis,
-): Recorded {
+): ReportResult {
   const known = ledger.entries[holder];
   if (known === undefined) return recordUnknown(ledger, holder, report, session, now);
   if (report.share > known.share) {
@@ -197,7 +197,7 @@
   const { given } = report;
   const isNewReturn = given !== undefined && given.id > known.givenId;
   const free = ledger.free + known.share - report.share;
-  const bucket = pour(ledger.bucket, isNewReturn ? given.tokens : 0, free, rate);
+  const bucket = addTokens(ledger.bucket, isNewReturn ? given.tokens : 0, free, rate);
   const entry = entryOf(report, isNewReturn ? given.id : known.givenId, now);
   return { ledger: withEntry({ ...ledger, free, bucket }, holder, entry), verdict: 'known' };
 }
--- a/packages/group/src/shares/TokenBucket.ts
+++ b/packages/group/src/shares/TokenBucket.ts
@@ -1,5 +1,5 @@
 import type { Millis, TeamRate } from '@camphorvane/core';
-import { capOf, type Share, SHARE_UNITS, type ShareSettings } from './ShareSettings.ts';
+import { getBucketCapacity, type Share, SHARE_UNITS, type ShareSettings } from './ShareSettings.ts';
 
 /** Token bucket of one share; `level` holds at the time `at`. */
 export interface TokenBucket {
@@ -8,7 +8,7 @@
 }
 
 /** Creates a bucket without tokens. */
-export function emptyBucket(now: Millis): TokenBucket {
+export function createEmptyBucket(now: Millis): TokenBucket {
   return { level: 0, at: now };
 }
 
@@ -20,7 +20,7 @@
  *
  * @returns The bucket at `now`, capped at the share's part of the burst.
  */
-export function accrue(
+export function accrueTokens(
   bucket: TokenBucket,
   share: Share,
   rate: TeamRate,
@@ -29,16 +29,16 @@
 ): TokenBucket {
   const seconds = Math.max(0, now - bucket.at) / 1000 / (1 + settings.driftBound);
   const earned = (share / SHARE_UNITS) * rate.tokensPerSecond * seconds;
-  const level = Math.min(bucket.level + earned, capOf(share, rate));
+  const level = Math.min(bucket.level + earned, getBucketCapacity(share, rate));
   return { level, at: Math.max(now, bucket.at) };
 }
 
 /** Adds tokens from another share or a refund, capped at the share's part of the burst. */
-export function pour(
+export function addTokens(
   bucket: TokenBucket,
   tokens: number,
   share: Share,
   rate: TeamRate,
 ): TokenBucket {
-  return { ...bucket, level: Math.min(bucket.level + tokens, capOf(share, rate)) };
+  return { ...bucket, level: Math.min(bucket.level + tokens, getBucketCapacity(share, rate)) };
 }
--- a/packages/group/src/shares/allocation.ts
+++ b/packages/group/src/shares/allocation.ts
@@ -1,13 +1,13 @@
 import type { Millis, TeamRate } from '@camphorvane/core';
 import type { TeamGrant } from './ShareMessage.ts';
 import {
-  capOf,
+  getBucketCapacity,
   type Share,
   SHARE_UNITS,
   type ShareRules,
   type ShareSettings,
 } from './ShareSettings.ts';
-import { accrue } from './TokenBucket.ts';
+import { accrueTokens } from './TokenBucket.ts';
 import { type LedgerEntry, type TeamLedger, withEntry } from './TeamLedger.ts';
 
 /** Weight of a holder with a full bucket; an empty bucket adds 1. */
@@ -34,18 +34,18 @@
 
 function levelOf(entry: LedgerEntry, { rate, settings, now }: AllocationContext): number {
   const bucket = { level: entry.level, at: entry.reportedAt };
-  return accrue(bucket, entry.share, rate, settings, now).level;
+  return accrueTokens(bucket, entry.share, rate, settings, now).level;
 }
 
 function demandOf(entry: LedgerEntry | undefined, ctx: AllocationContext): number {
   if (entry === undefined) return 0;
   const age = ctx.now - entry.reportedAt;
-  return entry.demand * Math.exp(-age / ctx.settings.demandMs);
+  return entry.demand * Math.exp(-age / ctx.settings.demandTimeConstantMs);
 }
 
 /** Gets the fill level of a holder's bucket at present, from 0 to 1. */
 function fullnessOf(entry: LedgerEntry | undefined, ctx: AllocationContext): number {
-  const cap = entry === undefined ? 0 : capOf(entry.share, ctx.rate);
+  const cap = entry === undefined ? 0 : getBucketCapacity(entry.share, ctx.rate);
   return entry === undefined || cap <= 0 ? 0 : Math.min(1, levelOf(entry, ctx) / cap);
 }
 
@@ -59,10 +59,10 @@
  * A full bucket loses what it earns even while other hosts of the team are short of tokens; holders
  * with emptier buckets therefore get a larger weight, and tokens move with the shares.
  */
-export function targetOf(ledger: TeamLedger, holder: string, ctx: AllocationContext): Share {
+export function getTargetShare(ledger: TeamLedger, holder: string, ctx: AllocationContext): Share {
   const { members, rate, settings } = ctx;
   if (!members.includes(holder)) return 0;
-  const even = (settings.evenPart * rate.tokensPerSecond) / members.length;
+  const even = (settings.evenFraction * rate.tokensPerSecond) / members.length;
   const weightOf = (member: string): number => {
     const entry = ledger.entries[member];
     return (even + demandOf(entry, ctx)) * (FULL_WEIGHT + 1 - fullnessOf(entry, ctx));
@@ -77,10 +77,10 @@
   holder: string,
   ctx: AllocationContext,
 ): readonly string[] {
-  const { smallestMove } = ctx.settings;
+  const { minMove } = ctx.settings;
   return Object.entries(ledger.entries)
     .filter(([other]) => other !== holder)
-    .filter(([other, entry]) => entry.share > targetOf(ledger, other, ctx) + smallestMove)
+    .filter(([other, entry]) => entry.share > getTargetShare(ledger, other, ctx) + minMove)
     .map(([other]) => other);
 }
 
@@ -95,17 +95,17 @@
   const entry = ledger.entries[holder] as LedgerEntry;
   const added = Math.max(0, Math.min(target - entry.share, ledger.free));
   const share = entry.share + added;
-  const room = Math.max(0, capOf(share, rate) - entry.level);
+  const room = Math.max(0, getBucketCapacity(share, rate) - entry.level);
   const free = ledger.free - added;
   // Tokens move with their share: the free tokens must fit the remaining free share, or both
   // together would exceed the burst.
   const proportional = ledger.free === 0 ? 0 : (ledger.bucket.level * added) / ledger.free;
   const tokens = Math.floor(Math.min(proportional, room, ledger.bucket.level));
-  const level = Math.min(ledger.bucket.level - tokens, capOf(free, rate));
+  const level = Math.min(ledger.bucket.level - tokens, getBucketCapacity(free, rate));
   const pending = added > 0 || tokens > 0 ? { share: added, tokens } : undefined;
   const kept = rules.deductsFirst ? { free, bucket: { ...ledger.bucket, level } } : {};
   const next = withEntry({ ...ledger, ...kept }, holder, { ...entry, share, pending });
-  const isBehind = target - share > ctx.settings.smallestMove;
+  const isBehind = target - share > ctx.settings.minMove;
   const givers = isBehind ? holdersInExcess(ledger, holder, ctx) : [];
   return { ledger: next, grant: { team: ledger.team, share, tokens, reset: false }, givers };
 }
@@ -122,9 +122,9 @@
  */
 export function allocate(ledger: TeamLedger, holder: string, ctx: AllocationContext): Allocation {
   const entry = ledger.entries[holder] as LedgerEntry;
-  const target = targetOf(ledger, holder, ctx);
+  const target = getTargetShare(ledger, holder, ctx);
   const leaves = !ctx.members.includes(holder) && entry.share > 0;
-  if (!leaves && entry.share - target <= ctx.settings.smallestMove) {
+  if (!leaves && entry.share - target <= ctx.settings.minMove) {
     return raise(ledger, holder, target, ctx);
   }
   const grant = { team: ledger.team, share: target, tokens: 0, reset: false };
--- a/packages/group/tests/membership/GroupMember.test.ts
+++ b/packages/group/tests/membership/GroupMember.test.ts
@@ -1,8 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { GroupMember } from '../../src/index.ts';
-import { MEMBERSHIP_RULES, parseGroupRecord, stewardOf } from '../../src/index.ts';
-import { hear, identity, memberWith, recordOf, SETTINGS, welcomeOf } from '../support/members.ts';
+import { MEMBERSHIP_RULES, parseGroupRecord, getCoordinator } from '../../src/index.ts';
+import {
+  deliverWelcome,
+  identity,
+  memberWith,
+  recordOf,
+  SETTINGS,
+  welcomeOf,
+} from '../support/members.ts';
 
 const T = SETTINGS.actForMs;
 const W = MEMBERSHIP_RULES.takeoverWait(SETTINGS);
@@ -17,7 +24,8 @@
   const names = Array.from({ length: 500 }, (_, index) => `key-${index}`);
   const key = names.find(
     (name) =>
-      stewardOf(name, recordOf(1, before)) === from && stewardOf(name, recordOf(1, after)) === to,
+      getCoordinator(name, recordOf(1, before)) === from &&
+      getCoordinator(name, recordOf(1, after)) === to,
   );
   assert.ok(key);
   return key;
@@ -27,16 +35,16 @@
   // Answers can be delayed. Counted from their arrival, they would let a host act after others have
   // taken over from it.
   const member = memberWith('a', recordOf(4, ['a', 'b', 'c', 'd', 'e']), 0);
-  hear(member, welcomeOf('b', 4), 500, 2_000);
+  deliverWelcome(member, welcomeOf('b', 4), 500, 2_000);
   assert.equal(member.view(2_000).actUntil, T);
-  hear(member, welcomeOf('c', 4), 400, 2_000);
+  deliverWelcome(member, welcomeOf('c', 4), 400, 2_000);
   assert.equal(member.view(2_000).actUntil, 400 + T);
 });
 
 test('a vouch for an earlier epoch confirms nothing', () => {
   const member = memberWith('a', recordOf(4, ['a', 'b', 'c']), 0);
-  hear(member, welcomeOf('b', 3), 1_000, 1_001);
-  hear(member, welcomeOf('c', 3), 1_000, 1_001);
+  deliverWelcome(member, welcomeOf('b', 3), 1_000, 1_001);
+  deliverWelcome(member, welcomeOf('c', 3), 1_000, 1_001);
   assert.equal(member.view(1_001).actUntil, T);
 });
 
@@ -45,7 +53,7 @@
   // coordinator again.
   const member = memberWith('a', recordOf(4, ['a', 'b', 'c']), 0);
   const message = { ...welcomeOf('b', 3), record: recordOf(3, ['a', 'b', 'x']) };
-  hear(member, message, 10, 20);
+  deliverWelcome(member, message, 10, 20);
   assert.equal(member.view(20).epoch, 4);
 });
 
@@ -54,9 +62,9 @@
   const after = ['a', 'b', 'c', 'd'];
   const key = keyMoving('b', before, 'd', after);
   const member = memberWith('d', recordOf(5, after, [before]), 0);
-  assert.equal(member.maySteward(key, 1), false);
-  hear(member, welcomeOf('b', 5), 1, 2);
-  assert.equal(member.maySteward(key, 2), true);
+  assert.equal(member.mayCoordinate(key, 1), false);
+  deliverWelcome(member, welcomeOf('b', 5), 1, 2);
+  assert.equal(member.mayCoordinate(key, 2), true);
 });
 
 test('a key of an unreachable host moves only after the takeover wait', () => {
@@ -66,24 +74,24 @@
   const after = ['a', 'b'];
   const key = keyMoving('c', before, 'a', after);
   const member = memberWith('a', recordOf(5, after, [before]), 0);
-  hear(member, welcomeOf('b', 5), 10, 12);
+  deliverWelcome(member, welcomeOf('b', 5), 10, 12);
   assert.equal(member.view(12).takeoverAt, 12 + W);
-  hear(member, welcomeOf('b', 5), W, W + 11);
-  assert.equal(member.maySteward(key, W + 11), false);
-  assert.equal(member.maySteward(key, W + 12), true);
+  deliverWelcome(member, welcomeOf('b', 5), W, W + 11);
+  assert.equal(member.mayCoordinate(key, W + 11), false);
+  assert.equal(member.mayCoordinate(key, W + 12), true);
 });
 
 test('the next epoch waits until a majority of the previous epoch knows the current one', () => {
   // Two consecutive changes replace most members, and those of the first epoch do not learn of
   // them. They would keep vouching for each other while hosts of the third epoch take over.
   const member = memberWith('a', recordOf(2, ['a', 'd', 'e'], [['a', 'b', 'c']]), 0);
-  ['d', 'e'].forEach((host) => hear(member, welcomeOf(host, 2), 10, 12));
+  ['d', 'e'].forEach((host) => deliverWelcome(member, welcomeOf(host, 2), 10, 12));
   member.step({ type: 'tick' }, 20);
   const outside = { ...identity('f') };
   const hello = { type: 'hello', group: 'g0', from: outside, epoch: 2, intent: 'stay' } as const;
   member.step({ type: 'asked', message: hello }, 20);
   assert.equal(writesAfterRead(member, 1_100), 0);
-  hear(member, welcomeOf('b', 2), 1_110, 1_112);
+  deliverWelcome(member, welcomeOf('b', 2), 1_110, 1_112);
   member.step({ type: 'asked', message: hello }, 1_112);
   assert.equal(writesAfterRead(member, 1_600), 1);
 });
--- a/packages/group/tests/support/members.ts
+++ b/packages/group/tests/support/members.ts
@@ -1,5 +1,5 @@
 import {
-  DEFAULT_MEMBERSHIP,
+  DEFAULT_MEMBERSHIP_SETTINGS,
   GroupMember,
   type GroupRecord,
   type MemberIdentity,
@@ -9,7 +9,7 @@
   type Welcome,
 } from '../../src/index.ts';
 
-export const SETTINGS = DEFAULT_MEMBERSHIP;
+export const SETTINGS = DEFAULT_MEMBERSHIP_SETTINGS;
 
 /** Creates the identity of one incarnation of a host. */
 export function identity(host: string, incarnation = 'i1'): MemberIdentity {
@@ -62,6 +62,11 @@
 }
 
 /** Delivers a host's reply to a hello that the member sent at `sentAt`. */
-export function hear(member: GroupMember, welcome: Welcome, sentAt: number, now: number): void {
+export function deliverWelcome(
+  member: GroupMember,
+  welcome: Welcome,
+  sentAt: number,
+  now: number,
+): void {
   member.step({ type: 'answered', to: welcome.from, sentAt, message: welcome }, now);
 }
--- a/packages/operator/src/apply/ApplyError.ts
+++ b/packages/operator/src/apply/ApplyError.ts
@@ -1,6 +1,6 @@
 import type { ObjectVersion } from '@camphorvane/store';
-import type { ReferenceFault } from '../declarations/checkReferences.ts';
-import type { ConfigChange, ItemName } from './ConfigItem.ts';
+import type { ConfigFault } from '../declarations/findConfigFaults.ts';
+import type { ConfigChange, ItemName } from './configDiff.ts';
 
 /** Why a configuration was not accepted, or why the outcome is unknown. */
 export type ApplyError =
@@ -23,7 +23,7 @@
   | { readonly type: 'change_id_reused'; readonly version: ObjectVersion }
   | { readonly type: 'part_too_large'; readonly part: string; readonly bytes: number }
   /** The configuration, or the merged one, fails validation. */
-  | { readonly type: 'invalid'; readonly faults: readonly ReferenceFault[] }
+  | { readonly type: 'invalid'; readonly faults: readonly ConfigFault[] }
   /** The platform rejected a write as invalid. */
   | { readonly type: 'refused'; readonly message: string }
   /** A stored configuration is missing, damaged or in an unknown format. */
--- a/packages/operator/src/apply/ConfigApply.ts
+++ b/packages/operator/src/apply/applyConfig.ts
@@ -14,7 +14,7 @@
   type PlatformError,
 } from '@camphorvane/store';
 import { err, ok, type Result } from 'neverthrow';
-import { checkReferences } from '../declarations/checkReferences.ts';
+import { findConfigFaults } from '../declarations/findConfigFaults.ts';
 import type { ApplyContext } from './ApplyContext.ts';
 import type { ApplyError } from './ApplyError.ts';
 import { BlobWriter } from './BlobWriter.ts';
@@ -24,14 +24,14 @@
   diffConfigs,
   mergeConfigs,
   type ConfigChange,
-} from './ConfigItem.ts';
-import { GRACE_MS, collectUnused } from './collectUnused.ts';
+} from './configDiff.ts';
+import { UNUSED_BLOB_GRACE_MS, deleteUnusedBlobs } from './deleteUnusedBlobs.ts';
 import {
   readAcceptedRoot,
-  readArchived,
+  readArchivedConfig,
   readManifestConfig,
   type AcceptedRoot,
-} from './readAccepted.ts';
+} from './readAcceptedConfig.ts';
 
 /** The configuration that a change is based on. */
 export type ApplyBase =
@@ -52,7 +52,7 @@
 }
 
 /** The outcome of a successful apply. */
-export interface Applied {
+export interface ApplySuccess {
   /** The version as which the configuration was accepted. */
   readonly version: ObjectVersion;
   readonly outcome: 'applied' | 'already_applied' | 'unchanged';
@@ -77,9 +77,9 @@
 };
 
 /** How long a written blob is reused, well within the grace period of garbage collection. */
-const BLOB_REUSE_MS = GRACE_MS / 4;
+const BLOB_REUSE_MS = UNUSED_BLOB_GRACE_MS / 4;
 
-type ApplyOutcome = Result<Applied, ApplyError>;
+type ApplyOutcome = Result<ApplySuccess, ApplyError>;
 
 type Attempt =
   { readonly type: 'done'; readonly outcome: ApplyOutcome } | { readonly type: 'again' };
@@ -94,8 +94,8 @@
 function withoutChanges(
   version: ObjectVersion,
   inForce: ObjectVersion,
-  outcome: Applied['outcome'],
-): Applied {
+  outcome: ApplySuccess['outcome'],
+): ApplySuccess {
   return { version, outcome, inForce, changes: [] };
 }
 
@@ -129,7 +129,7 @@
   }
 
   async run(): Promise<ApplyOutcome> {
-    const faults = checkReferences(this.config);
+    const faults = findConfigFaults(this.config);
     if (faults.length > 0) return err({ type: 'invalid', faults });
     const backoff = new Backoff(this.context.random, RETRY_BACKOFF);
     let attempts = 0;
@@ -197,7 +197,7 @@
       return err({ type: 'conflict', current: version, both, theirs });
     }
     const merged = mergeConfigs(base, current, this.config);
-    const faults = checkReferences(merged);
+    const faults = findConfigFaults(merged);
     return faults.length === 0 ? ok(merged) : err({ type: 'invalid', faults });
   }
 
@@ -221,7 +221,8 @@
       case 'version': {
         if (base.version === (accepted?.version ?? 0)) return ok(current);
         const entry = accepted?.root.history.find(({ version }) => version === base.version);
-        if (entry !== undefined) return readArchived(this.context.store, entry.manifestDigest);
+        if (entry !== undefined)
+          return readArchivedConfig(this.context.store, entry.manifestDigest);
         const version = accepted?.version ?? 0;
         return err({ type: 'base_unknown', base: base.version, current: version });
       }
@@ -243,7 +244,7 @@
     const expected = previous?.version ?? 'absent';
     const put = await this.context.store.put(CONFIG_KIND, ROOT_NAME, root, expected);
     if (put.isErr()) return this.handleRootWriteError(put.error);
-    await collectUnused(this.context, { version: put.value.version, root });
+    await deleteUnusedBlobs(this.context, { version: put.value.version, root });
     const { version } = put.value;
     return done(ok({ version, outcome: 'applied', inForce: version, changes: plan.changes }));
   }
--- a/packages/operator/src/apply/collectUnused.ts
+++ b/packages/operator/src/apply/deleteUnusedBlobs.ts
@@ -1,13 +1,18 @@
 import { sha256Hex, type Millis } from '@camphorvane/core';
-import { CHUNK_KIND, MANIFEST_KIND, serializeManifest, type StoredObject } from '@camphorvane/store';
+import {
+  CHUNK_KIND,
+  MANIFEST_KIND,
+  serializeManifest,
+  type StoredObject,
+} from '@camphorvane/store';
 import type { ApplyContext } from './ApplyContext.ts';
-import { readAcceptedRoot, readArchivedManifest, type AcceptedRoot } from './readAccepted.ts';
+import { readAcceptedRoot, readArchivedManifest, type AcceptedRoot } from './readAcceptedConfig.ts';
 
 /**
  * Milliseconds for which an unreferenced blob is kept: one hour. It protects an apply that has written
  * its parts but not yet its root, and tolerates clock skew of minutes between operators' machines.
  */
-export const GRACE_MS: Millis = 3_600_000;
+export const UNUSED_BLOB_GRACE_MS: Millis = 3_600_000;
 
 /**
  * Deletes parts and manifests that neither the root nor its history references.
@@ -20,7 +25,10 @@
  * @param context - The object store and the clock.
  * @param accepted - The root that was just written.
  */
-export async function collectUnused(context: ApplyContext, accepted: AcceptedRoot): Promise<void> {
+export async function deleteUnusedBlobs(
+  context: ApplyContext,
+  accepted: AcceptedRoot,
+): Promise<void> {
   const prefix = sha256Hex(accepted.root.changeId).slice(0, 1);
   const usedNames = await usedDigests(context, accepted);
   if (usedNames === undefined) return;
@@ -56,7 +64,7 @@
 
 function isPastGrace(object: StoredObject, now: Millis): boolean {
   const { touchedAt } = object.value as { readonly touchedAt?: unknown };
-  return typeof touchedAt === 'number' && now - touchedAt > GRACE_MS;
+  return typeof touchedAt === 'number' && now - touchedAt > UNUSED_BLOB_GRACE_MS;
 }
 
 async function isNewestRoot(context: ApplyContext, accepted: AcceptedRoot): Promise<boolean> {
--- a/packages/operator/src/apply/readAccepted.ts
+++ b/packages/operator/src/apply/readAcceptedConfig.ts
@@ -44,7 +44,7 @@
 ): ResultAsync<AcceptedRoot | undefined, ReadError> {
   return store
     .get(CONFIG_KIND, ROOT_NAME)
-    .mapErr(readError)
+    .mapErr(toReadError)
     .andThen((object): Result<AcceptedRoot | undefined, ReadError> => {
       if (object === undefined) return ok(undefined);
       const root = parseRoot(object.value);
@@ -60,7 +60,7 @@
  * @param store - The platform's object store.
  * @returns The configuration, or undefined before the first one.
  */
-export function readAccepted(
+export function readAcceptedConfig(
   store: ObjectStore,
 ): ResultAsync<AcceptedConfig | undefined, ReadError> {
   return readAcceptedRoot(store).andThen((accepted) =>
@@ -86,7 +86,7 @@
 ): ResultAsync<RoutingConfig, ReadError> {
   return new ChunkReader(store)
     .read(manifest.parts.map((part) => part.digest))
-    .mapErr(readError)
+    .mapErr(toReadError)
     .andThen((texts): Result<RoutingConfig, ReadError> => {
       const parts = manifest.parts.map(({ digest }) => parsePart(digest, texts.get(digest) ?? ''));
       const damaged = manifest.parts.filter((_, i) => parts[i] === undefined);
@@ -103,7 +103,7 @@
  * @param digest - The digest of its manifest.
  * @returns The configuration, or `unreadable` if its manifest or a part is missing or damaged.
  */
-export function readArchived(
+export function readArchivedConfig(
   store: ObjectStore,
   digest: string,
 ): ResultAsync<RoutingConfig, ReadError> {
@@ -127,7 +127,7 @@
 ): ResultAsync<ConfigManifest | undefined, ReadError> {
   return store
     .get(MANIFEST_KIND, digest)
-    .mapErr(readError)
+    .mapErr(toReadError)
     .map((object) => parseManifest(digest, textOf(object?.value)));
 }
 
@@ -147,7 +147,7 @@
  * @param error - The platform error.
  * @returns `unavailable` in every case, since the platform gave no usable response.
  */
-export function readError(error: PlatformError): ReadError {
+export function toReadError(error: PlatformError): ReadError {
   switch (error.type) {
     case 'unavailable':
     case 'invalid':
--- a/packages/operator/src/commands/declarationCommands.ts
+++ b/packages/operator/src/commands/declarationCommands.ts
@@ -4,9 +4,9 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { ApplyContext } from '../apply/ApplyContext.ts';
 import { describeApplyError, type ApplyError } from '../apply/ApplyError.ts';
-import { applyConfig, type Applied, type ApplyBase } from '../apply/ConfigApply.ts';
-import { EMPTY_CONFIG, diffConfigs, type ConfigChange } from '../apply/ConfigItem.ts';
-import { readAccepted, type ReadError } from '../apply/readAccepted.ts';
+import { applyConfig, type ApplySuccess, type ApplyBase } from '../apply/applyConfig.ts';
+import { EMPTY_CONFIG, diffConfigs, type ConfigChange } from '../apply/configDiff.ts';
+import { readAcceptedConfig, type ReadError } from '../apply/readAcceptedConfig.ts';
 import {
   describeDeclarationError,
   type DeclarationError,
@@ -15,18 +15,18 @@
 import { EXIT, type CommandResult, type ExitCode } from './CommandResult.ts';
 
 /** A declarations file given on the command line. */
-export interface NamedText {
+export interface DeclarationsFile {
   readonly file: string;
   readonly text: string;
 }
 
 /** Arguments of `apply`. */
 export interface ApplyRequest {
-  readonly declarations: NamedText;
+  readonly declarations: DeclarationsFile;
   /** Version that the change is based on. */
   readonly baseVersion?: ObjectVersion;
   /** The declarations before the change, as an alternative to `baseVersion`. */
-  readonly baseDeclarations?: NamedText;
+  readonly baseDeclarations?: DeclarationsFile;
   /** Whether to merge with changes made since the base. */
   readonly merge?: boolean;
   /** Change id of an earlier run whose outcome is unknown. */
@@ -41,7 +41,7 @@
  * @param declarations - The file.
  * @returns Exit code 0 if they are valid, or 2 with their errors.
  */
-export function checkCommand(declarations: NamedText): CommandResult {
+export function checkCommand(declarations: DeclarationsFile): CommandResult {
   return parseFile(declarations).match((config) => {
     const { teams, pools, services } = config;
     const counts = { teams: teams.length, pools: pools.length, services: services.length };
@@ -60,12 +60,12 @@
  */
 export async function diffCommand(
   store: ObjectStore,
-  declarations: NamedText,
+  declarations: DeclarationsFile,
 ): Promise<CommandResult> {
   const parsed = parseFile(declarations);
   if (parsed.isErr()) return parsed.error;
-  const accepted = await readAccepted(store);
-  if (accepted.isErr()) return readFailure(accepted.error);
+  const accepted = await readAcceptedConfig(store);
+  if (accepted.isErr()) return readErrorResult(accepted.error);
   const version = accepted.value?.version ?? 0;
   const changes = diffConfigs(accepted.value?.config ?? EMPTY_CONFIG, parsed.value);
   const lines = [`version ${version} is in force`, ...changes.flatMap(formatChange)];
@@ -95,7 +95,7 @@
   const changeId = req.changeId ?? deriveChangeId(req);
   const options = { changeId, base: base.value, merge: req.merge };
   const outcome = await applyConfig(context, config.value, options);
-  return applyResult(outcome, changeId);
+  return applyCommandResult(outcome, changeId);
 }
 
 /**
@@ -105,7 +105,10 @@
  * @param changeId - The change id.
  * @returns The output and an exit code as of {@link applyCommand}.
  */
-export function applyResult(outcome: Result<Applied, ApplyError>, changeId: string): CommandResult {
+export function applyCommandResult(
+  outcome: Result<ApplySuccess, ApplyError>,
+  changeId: string,
+): CommandResult {
   return outcome.match(
     (applied) => successResult(applied, changeId),
     (error) => ({
@@ -132,7 +135,7 @@
   return parseFile(req.baseDeclarations).map((config) => ({ type: 'config', config }));
 }
 
-function parseFile({ text, file }: NamedText): Result<RoutingConfig, CommandResult> {
+function parseFile({ text, file }: DeclarationsFile): Result<RoutingConfig, CommandResult> {
   return parseDeclarations(text, file).orElse((errors) => err(invalidResult(errors)));
 }
 
@@ -146,11 +149,11 @@
 }
 
 /** Gets the command result for a configuration in force that could not be read. */
-export function readFailure(error: ReadError): CommandResult {
+export function readErrorResult(error: ReadError): CommandResult {
   return { exitCode: EXIT.unavailable, text: error.message, json: { ok: false, error } };
 }
 
-function successResult(applied: Applied, changeId: string): CommandResult {
+function successResult(applied: ApplySuccess, changeId: string): CommandResult {
   const supersededNote =
     applied.inForce > applied.version ? `; version ${applied.inForce} is in force since` : '';
   const summary = {
--- a/packages/operator/src/commands/zoneCommand.ts
+++ b/packages/operator/src/commands/zoneCommand.ts
@@ -1,9 +1,9 @@
 import type { ZoneId } from '@camphorvane/core';
 import type { ApplyContext } from '../apply/ApplyContext.ts';
-import { applyConfig } from '../apply/ConfigApply.ts';
-import { readAccepted } from '../apply/readAccepted.ts';
+import { applyConfig } from '../apply/applyConfig.ts';
+import { readAcceptedConfig } from '../apply/readAcceptedConfig.ts';
 import { EXIT, type CommandResult } from './CommandResult.ts';
-import { applyResult, readFailure } from './declarationCommands.ts';
+import { applyCommandResult, readErrorResult } from './declarationCommands.ts';
 
 /** Arguments of `drain-zone` and `restore-zone`. */
 export interface ZoneRequest {
@@ -25,8 +25,8 @@
  * @returns The output and an exit code as of `apply`.
  */
 export async function zoneCommand(context: ApplyContext, req: ZoneRequest): Promise<CommandResult> {
-  const accepted = await readAccepted(context.store);
-  if (accepted.isErr()) return readFailure(accepted.error);
+  const accepted = await readAcceptedConfig(context.store);
+  if (accepted.isErr()) return readErrorResult(accepted.error);
   if (accepted.value === undefined) return noConfiguration();
   const { version, config } = accepted.value;
   const otherDrainedZones = (config.drainedZones ?? []).filter((zone) => zone !== req.zone);
@@ -37,7 +37,7 @@
     { ...config, drainedZones },
     { changeId: req.freshId, base: { type: 'version', version }, merge: true },
   );
-  return applyResult(outcome, req.freshId);
+  return applyCommandResult(outcome, req.freshId);
 }
 
 function noConfiguration(): CommandResult {
--- a/packages/operator/src/declarations/DeclarationLines.ts
+++ b/packages/operator/src/declarations/DeclarationLineIndex.ts
@@ -10,7 +10,7 @@
  * The TOML library keeps no positions. Only the start of each line is matched, which covers the output
  * of the builder library; for other layouts, the nearest enclosing table is found.
  */
-export class DeclarationLines {
+export class DeclarationLineIndex {
   private readonly lines = new Map<string, number>();
 
   private readonly entryCounts = new Map<string, number>();
--- a/packages/operator/src/declarations/checkReferences.ts
+++ b/packages/operator/src/declarations/findConfigFaults.ts
@@ -1,8 +1,8 @@
 import type { RoutingConfig } from '@camphorvane/core';
-import type { DeclarationPath } from './DeclarationLines.ts';
+import type { DeclarationPath } from './DeclarationLineIndex.ts';
 
 /** A validation error of a configuration, before it is located in a file. */
-export interface ReferenceFault {
+export interface ConfigFault {
   /** Path in the declarations. */
   readonly path: DeclarationPath;
   /** Description of what was found. */
@@ -23,7 +23,7 @@
  * @param config - A configuration that conforms to the schema.
  * @returns All errors; empty if the configuration is valid.
  */
-export function checkReferences(config: RoutingConfig): readonly ReferenceFault[] {
+export function findConfigFaults(config: RoutingConfig): readonly ConfigFault[] {
   return [
     ...duplicateNames(teamNames(config), 'a unique team name'),
     ...duplicateNames(keyDigests(config), 'a key digest that occurs once'),
@@ -41,10 +41,7 @@
   ];
 }
 
-function duplicateNames(
-  entries: readonly NamedEntry[],
-  expected: string,
-): readonly ReferenceFault[] {
+function duplicateNames(entries: readonly NamedEntry[], expected: string): readonly ConfigFault[] {
   const seen = new Set<string>();
   return entries.flatMap(({ path, name }) => {
     if (seen.has(name)) return [{ path, found: `${name} a second time`, expected }];
@@ -105,7 +102,7 @@
   }));
 }
 
-function unknownTeamModels(config: RoutingConfig): readonly ReferenceFault[] {
+function unknownTeamModels(config: RoutingConfig): readonly ConfigFault[] {
   const models = new Set(config.pools.map((pool) => pool.model));
   return config.teams.flatMap((team, i) =>
     team.models.flatMap((model, k) =>
@@ -116,7 +113,7 @@
   );
 }
 
-function unknownRuleReferences(config: RoutingConfig): readonly ReferenceFault[] {
+function unknownRuleReferences(config: RoutingConfig): readonly ConfigFault[] {
   const models = new Set(config.pools.map((pool) => pool.model));
   const teams = new Set(config.teams.map((team) => team.id));
   return config.waitRules.flatMap((rule, i) => [
@@ -130,7 +127,7 @@
 }
 
 /** A misspelt zone would be believed drained and still receive requests. */
-function unknownDrainedZones(config: RoutingConfig): readonly ReferenceFault[] {
+function unknownDrainedZones(config: RoutingConfig): readonly ConfigFault[] {
   const upstreamConfigs = [
     ...config.pools.flatMap((pool) => pool.engines),
     ...config.services.flatMap((service) => service.servers),
@@ -143,12 +140,12 @@
   );
 }
 
-function unknownReference(path: DeclarationPath, name: string, what: string): ReferenceFault {
+function unknownReference(path: DeclarationPath, name: string, what: string): ConfigFault {
   return { path, found: JSON.stringify(name), expected: `the name of a declared ${what}` };
 }
 
 /** A pool without prefill or decode engines would accept requests that it can never finish. */
-function poolsWithMissingRole(config: RoutingConfig): readonly ReferenceFault[] {
+function poolsWithMissingRole(config: RoutingConfig): readonly ConfigFault[] {
   return config.pools.flatMap((pool, i) =>
     (['prefill', 'decode'] as const)
       .filter((role) => !pool.engines.some((engine) => engine.role === role))
@@ -160,7 +157,7 @@
   );
 }
 
-function servicesWithoutServers(config: RoutingConfig): readonly ReferenceFault[] {
+function servicesWithoutServers(config: RoutingConfig): readonly ConfigFault[] {
   return config.services
     .map((service, i) => ({ service, i }))
     .filter(({ service }) => service.servers.length === 0)
--- a/packages/operator/src/declarations/parseDeclarations.ts
+++ b/packages/operator/src/declarations/parseDeclarations.ts
@@ -3,8 +3,8 @@
 import { TomlError, parse } from 'smol-toml';
 import type { z } from 'zod';
 import { describeFound, type DeclarationError } from './DeclarationError.ts';
-import { DeclarationLines, type DeclarationPath } from './DeclarationLines.ts';
-import { checkReferences, type ReferenceFault } from './checkReferences.ts';
+import { DeclarationLineIndex, type DeclarationPath } from './DeclarationLineIndex.ts';
+import { findConfigFaults, type ConfigFault } from './findConfigFaults.ts';
 import { declarationSchema } from './declarationSchema.ts';
 import { MAX_ERRORS, MAX_FILE_BYTES, MAX_TEAMS } from './limits.ts';
 import { routingConfigOf } from './routingConfigOf.ts';
@@ -64,7 +64,7 @@
 }
 
 function validateConfig(config: RoutingConfig, text: string, file: string): Parsed<RoutingConfig> {
-  const faults = checkReferences(config);
+  const faults = findConfigFaults(config);
   return faults.length === 0 ? ok(config) : err(locateErrors(faults, text, file));
 }
 
@@ -79,7 +79,7 @@
   });
 }
 
-function faultsOf(issue: z.core.$ZodIssue, document: unknown): readonly ReferenceFault[] {
+function faultsOf(issue: z.core.$ZodIssue, document: unknown): readonly ConfigFault[] {
   if (issue.code !== 'unrecognized_keys') {
     const found = describeFound(valueAt(document, issue.path));
     return [{ path: issue.path, found, expected: issue.message }];
@@ -99,11 +99,11 @@
 }
 
 function locateErrors(
-  faults: readonly ReferenceFault[],
+  faults: readonly ConfigFault[],
   text: string,
   file: string,
 ): readonly DeclarationError[] {
-  const lines = new DeclarationLines(text);
+  const lines = new DeclarationLineIndex(text);
   const errors = faults.slice(0, MAX_ERRORS).map((fault) => ({
     file,
     line: lines.getLine(fault.path),
--- a/packages/operator/tests/apply/applyConfig.test.ts
+++ b/packages/operator/tests/apply/applyConfig.test.ts
@@ -1,9 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { GRACE_MS, applyConfig, diffConfigs, readAccepted } from '@camphorvane/operator';
+import {
+  UNUSED_BLOB_GRACE_MS,
+  applyConfig,
+  diffConfigs,
+  readAcceptedConfig,
+} from '@camphorvane/operator';
 import { CHUNK_KIND, CONFIG_KIND, ROOT_NAME } from '@camphorvane/store';
 import fc from 'fast-check';
-import { configOf, drive, errorOf, operatorOn, team, valueOf } from '../support/platform.ts';
+import {
+  configOf,
+  advanceUntilSettled,
+  errorOf,
+  createOperator,
+  team,
+  valueOf,
+} from '../support/platform.ts';
 
 const FIRST = { changeId: 'first', base: { type: 'none' } } as const;
 
@@ -11,17 +23,17 @@
   ({ changeId, base: { type: 'version', version }, merge }) as const;
 
 test('an applied configuration gets a version and can be read back', async () => {
-  const { clock, store, apply } = operatorOn();
+  const { clock, store, apply } = createOperator();
   const config = configOf(team('a'), team('b'));
   const applied = valueOf(await apply(config, FIRST));
   assert.equal(applied.outcome, 'applied');
-  const read = valueOf(await drive(clock, readAccepted(store)));
+  const read = valueOf(await advanceUntilSettled(clock, readAcceptedConfig(store)));
   assert.equal(read?.version, applied.version);
   assert.deepEqual(diffConfigs(config, read.config), []);
 });
 
 test('applying a change twice has no further effect, even after later changes', async () => {
-  const { apply } = operatorOn();
+  const { apply } = createOperator();
   const first = valueOf(await apply(configOf(team('a')), FIRST));
   const second = configOf(team('a'), team('b'));
   const inForce = valueOf(await apply(second, basedOn('second', first.version))).version;
@@ -35,17 +47,17 @@
 test('a change whose response is lost is found by reading the root', async () => {
   // The root is written but the response is lost. Reported as a failure, the change would be applied
   // again to an outdated base, or a withdrawn key would be believed to be still valid.
-  const { clock, store, context, apply } = operatorOn();
+  const { clock, store, context, apply } = createOperator();
   const first = valueOf(await apply(configOf(team('a')), FIRST));
   const pending = applyConfig(context, configOf(team('a', 2)), basedOn('second', first.version));
   const isWritten = () =>
     store.snapshot().some((o) => o.kind === 'config-manifest' && o.version > 4);
   while (!isWritten()) await clock.advance(1);
   store.setFaults({ lostAnswers: 1 });
-  const applied = valueOf(await drive(clock, pending));
+  const applied = valueOf(await advanceUntilSettled(clock, pending));
   assert.equal(applied.outcome, 'already_applied');
   assert.equal(store.faults.lostAnswers, 0);
-  const root = valueOf(await drive(clock, store.get(CONFIG_KIND, ROOT_NAME)));
+  const root = valueOf(await advanceUntilSettled(clock, store.get(CONFIG_KIND, ROOT_NAME)));
   assert.equal(root?.version, applied.version);
 });
 
@@ -55,11 +67,11 @@
       fc.integer({ min: 0, max: 4 }),
       fc.integer({ min: 0, max: 60 }),
       async (n, at) => {
-        const { clock, store, context } = operatorOn();
+        const { clock, store, context } = createOperator();
         const pending = applyConfig(context, configOf(team('a'), team('b')), FIRST);
         await clock.advance(at);
         store.setFaults({ lostAnswers: n });
-        const { version } = valueOf(await drive(clock, pending));
+        const { version } = valueOf(await advanceUntilSettled(clock, pending));
         const roots = store.snapshot().filter((object) => object.kind === CONFIG_KIND);
         assert.deepEqual(
           roots.map((root) => root.version),
@@ -72,7 +84,7 @@
 });
 
 test('apply reports that nothing was accepted while the platform is down', async () => {
-  const { store, apply } = operatorOn();
+  const { store, apply } = createOperator();
   store.setFaults({ down: true });
   assert.equal(errorOf(await apply(configOf(team('a')), FIRST)).type, 'unavailable');
 });
@@ -80,14 +92,14 @@
 test('the outcome is unknown if the platform fails after the write, and a later run determines it', async () => {
   // The root is sent and the platform goes down before it responds. Neither "applied" nor "failed" would
   // be correct; a retry with the same change id finds the outcome once the platform is back.
-  const { clock, store, context, apply } = operatorOn();
+  const { clock, store, context, apply } = createOperator();
   const pending = applyConfig(context, configOf(team('a')), FIRST);
   const isWritten = () => store.snapshot().some((object) => object.kind === 'config-manifest');
   while (!isWritten()) await clock.advance(1);
   store.setFaults({ lostAnswers: 1 });
   while (store.faults.lostAnswers > 0) await clock.advance(1);
   store.setFaults({ down: true });
-  const unknown = errorOf(await drive(clock, pending));
+  const unknown = errorOf(await advanceUntilSettled(clock, pending));
   assert.deepEqual(unknown, { type: 'outcome_unknown', changeId: 'first' });
   store.setFaults({ down: false });
   assert.equal(valueOf(await apply(configOf(team('a')), FIRST)).outcome, 'already_applied');
@@ -96,11 +108,11 @@
 test('of two concurrent changes one is accepted and one gets a conflict with the items both changed', async () => {
   // Both set the weight of one team, concurrently and from the same base version. Without a conflict the
   // later write would silently overwrite the earlier one.
-  const { clock, context, apply } = operatorOn();
+  const { clock, context, apply } = createOperator();
   const { version } = valueOf(await apply(configOf(team('a'), team('b')), FIRST));
   const mine = configOf(team('a', 2), team('b'), team('c'));
   const theirs = configOf(team('a', 3), team('b', 5));
-  const results = await drive(
+  const results = await advanceUntilSettled(
     clock,
     Promise.all([
       applyConfig(context, mine, basedOn('mine', version, true)),
@@ -114,7 +126,7 @@
 });
 
 test('changes of different items are merged, but only with the merge option', async () => {
-  const { clock, store, apply } = operatorOn();
+  const { clock, store, apply } = createOperator();
   const { version } = valueOf(await apply(configOf(team('a'), team('b')), FIRST));
   valueOf(await apply(configOf(team('a'), team('b', 5)), basedOn('theirs', version)));
   const mine = configOf(team('a', 2), team('b'), team('c'));
@@ -126,7 +138,7 @@
     ['team b'],
   );
   valueOf(await apply(mine, basedOn('mine', version, true)));
-  const read = valueOf(await drive(clock, readAccepted(store)));
+  const read = valueOf(await advanceUntilSettled(clock, readAcceptedConfig(store)));
   const expected = configOf(team('a', 2), team('b', 5), team('c'));
   assert.deepEqual(diffConfigs(expected, read!.config), []);
 });
@@ -134,7 +146,7 @@
 test('a merge that would leave a dangling reference is refused', async () => {
   // One operator removes a team while another adds a wait rule for it. Each change is valid by itself;
   // the merged configuration has a rule for an unknown team.
-  const { apply } = operatorOn();
+  const { apply } = createOperator();
   const base = configOf(team('a'), team('b'));
   const { version } = valueOf(await apply(base, FIRST));
   valueOf(await apply(configOf(team('a')), basedOn('theirs', version)));
@@ -144,7 +156,7 @@
 });
 
 test('an unknown base version is refused, and a base given by its contents is accepted', async () => {
-  const { apply } = operatorOn();
+  const { apply } = createOperator();
   const base = configOf(team('a'));
   valueOf(await apply(base, FIRST));
   assert.equal(errorOf(await apply(configOf(), basedOn('x', 999))).type, 'base_unknown');
@@ -153,7 +165,7 @@
 });
 
 test('a part over the size limit of the platform is refused before anything is written', async () => {
-  const { store, apply } = operatorOn();
+  const { store, apply } = createOperator();
   const keyDigests = Array.from({ length: 12_000 }, (_, i) => String(i).padStart(64, '0'));
   const error = errorOf(await apply(configOf({ ...team('a'), keyDigests }), FIRST));
   assert.equal(error.type, 'part_too_large');
@@ -161,13 +173,16 @@
 });
 
 test('unreferenced parts are deleted after an hour, but not those in use or recently written', async () => {
-  const { clock, store, apply } = operatorOn();
+  const { clock, store, apply } = createOperator();
   const put = async (name: string) =>
-    drive(clock, store.put(CHUNK_KIND, name, { text: '', touchedAt: clock.wall() }, 'absent'));
+    advanceUntilSettled(
+      clock,
+      store.put(CHUNK_KIND, name, { text: '', touchedAt: clock.wall() }, 'absent'),
+    );
   const hex = [...'0123456789abcdef'];
   await Promise.all(hex.map((digit) => put(`${digit}-old`)));
   let { version } = valueOf(await apply(configOf(team('a')), FIRST));
-  await clock.advance(GRACE_MS + 1000);
+  await clock.advance(UNUSED_BLOB_GRACE_MS + 1000);
   await Promise.all(hex.map((digit) => put(`${digit}-new`)));
   const changes = Array.from({ length: 60 }, (_, i) => i);
   await changes.reduce(async (before, i) => {
@@ -177,7 +192,7 @@
   const names = store.snapshot().map((object) => object.name);
   assert.equal(names.filter((name) => name.endsWith('-new')).length, 16);
   assert.equal(names.filter((name) => name.endsWith('-old')).length, 0);
-  assert.ok(valueOf(await drive(clock, readAccepted(store))));
+  assert.ok(valueOf(await advanceUntilSettled(clock, readAcceptedConfig(store))));
 });
 
 test('a diff lists each changed item with its changed fields', () => {
--- a/packages/operator/tests/commands/declarationCommands.test.ts
+++ b/packages/operator/tests/commands/declarationCommands.test.ts
@@ -10,7 +10,7 @@
   type CommandResult,
 } from '@camphorvane/operator';
 import { TOML } from '../support/declarations.ts';
-import { drive, operatorOn } from '../support/platform.ts';
+import { advanceUntilSettled, createOperator } from '../support/platform.ts';
 
 const file = (text: string) => ({ file: 'fleet.toml', text });
 
@@ -19,15 +19,15 @@
 const versionOf = (result: CommandResult): number => (result.json as { version: number }).version;
 
 function setUp() {
-  const { clock, store, context } = operatorOn();
+  const { clock, store, context } = createOperator();
   let ids = 0;
   const apply = (text: string, options: Partial<ApplyRequest> = {}): Promise<CommandResult> => {
     ids += 1;
     const req = { declarations: file(text), freshId: `fresh-${ids}`, ...options };
-    return drive(clock, applyCommand(context, req));
+    return advanceUntilSettled(clock, applyCommand(context, req));
   };
   const diff = (text: string): Promise<CommandResult> =>
-    drive(clock, diffCommand(store, file(text)));
+    advanceUntilSettled(clock, diffCommand(store, file(text)));
   return { store, apply, diff };
 }
 
--- a/packages/operator/tests/commands/zoneCommand.test.ts
+++ b/packages/operator/tests/commands/zoneCommand.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CommandResult, ZoneRequest } from '@camphorvane/operator';
-import { EXIT, applyCommand, readAccepted, zoneCommand } from '@camphorvane/operator';
+import { EXIT, applyCommand, readAcceptedConfig, zoneCommand } from '@camphorvane/operator';
 import { TOML } from '../support/declarations.ts';
-import { drive, operatorOn } from '../support/platform.ts';
+import { advanceUntilSettled, createOperator } from '../support/platform.ts';
 
 function setUp() {
-  const { clock, store, context } = operatorOn();
+  const { clock, store, context } = createOperator();
   let ids = 0;
   const freshId = (): string => {
     ids += 1;
@@ -14,12 +14,12 @@
   };
   const apply = (text: string): Promise<CommandResult> => {
     const req = { declarations: { file: 'fleet.toml', text }, freshId: freshId() };
-    return drive(clock, applyCommand(context, req));
+    return advanceUntilSettled(clock, applyCommand(context, req));
   };
   const runZoneCommand = (action: ZoneRequest['action'], zone: string): Promise<CommandResult> =>
-    drive(clock, zoneCommand(context, { action, zone, freshId: freshId() }));
+    advanceUntilSettled(clock, zoneCommand(context, { action, zone, freshId: freshId() }));
   const readDrainedZones = async (): Promise<readonly string[] | undefined> => {
-    const accepted = await drive(clock, Promise.resolve(readAccepted(store)));
+    const accepted = await advanceUntilSettled(clock, Promise.resolve(readAcceptedConfig(store)));
     return accepted._unsafeUnwrap()?.config.drainedZones;
   };
   return { apply, runZoneCommand, readDrainedZones };
--- a/packages/operator/tests/support/platform.ts
+++ b/packages/operator/tests/support/platform.ts
@@ -2,7 +2,7 @@
 import { RandomSource, VirtualClock, type RoutingConfig, type TeamConfig } from '@camphorvane/core';
 import {
   applyConfig,
-  type Applied,
+  type ApplySuccess,
   type ApplyContext,
   type ApplyError,
   type ApplyOptions,
@@ -14,7 +14,10 @@
 const MAX_STEPS = 100_000;
 
 /** Advances the clock until a promise settles and gets its value; fails after {@link MAX_STEPS}. */
-export async function drive<T>(clock: VirtualClock, promise: PromiseLike<T>): Promise<T> {
+export async function advanceUntilSettled<T>(
+  clock: VirtualClock,
+  promise: PromiseLike<T>,
+): Promise<T> {
   const state = { isDone: false };
   const markDone = (): void => {
     state.isDone = true;
@@ -31,17 +34,17 @@
 }
 
 /** Creates an empty object store with a virtual clock, and an `apply` that advances it. */
-export function operatorOn(): {
+export function createOperator(): {
   readonly clock: VirtualClock;
   readonly store: MemoryObjectStore;
   readonly context: ApplyContext;
-  apply(config: RoutingConfig, options: ApplyOptions): Promise<Result<Applied, ApplyError>>;
+  apply(config: RoutingConfig, options: ApplyOptions): Promise<Result<ApplySuccess, ApplyError>>;
 } {
   const clock = new VirtualClock();
   const store = new MemoryObjectStore(clock);
   const context = { store, clock, random: new RandomSource(1) };
   const apply = (config: RoutingConfig, options: ApplyOptions) =>
-    drive(clock, applyConfig(context, config, options));
+    advanceUntilSettled(clock, applyConfig(context, config, options));
   return { clock, store, context, apply };
 }
 
--- a/packages/peer/src/group/GroupRunner.ts
+++ b/packages/peer/src/group/GroupRunner.ts
@@ -111,12 +111,12 @@
 
   /** Gets the steward of a key under the newest epoch known; it may not have taken over yet. */
   stewardOf(key: string): HostId | undefined {
-    return this.member.stewardOf(key);
+    return this.member.coordinatorOf(key);
   }
 
   /** Tells whether this host may act as the steward of a key now. */
   maySteward(key: string): boolean {
-    return this.member.maySteward(key, this.now());
+    return this.member.mayCoordinate(key, this.now());
   }
 
   /**
@@ -174,7 +174,7 @@
       self: state.self,
       now: this.now(),
       intent: state.intent,
-      silent: this.member.silent(this.now()),
+      silent: this.member.getTimedOut(this.now()),
       ended: state.ended,
       platformCalls: this.object.calls,
       peers: Object.entries(state.peers).map(([member, peer]) => ({
@@ -191,7 +191,7 @@
   }
 
   private tickMs(): Millis {
-    return this.options.settings.vouchPeriodMs / TICKS_PER_PERIOD;
+    return this.options.settings.heartbeatIntervalMs / TICKS_PER_PERIOD;
   }
 
   private isNamed(): boolean {
@@ -242,7 +242,7 @@
     if (known !== undefined) return known;
     const task = new PeerTask(
       this.options.link,
-      this.options.settings.vouchPeriodMs,
+      this.options.settings.heartbeatIntervalMs,
       (sent, message) => {
         this.step({ type: 'answered', to: sent.to, sentAt: sent.sentAt, message });
       },
--- a/packages/peer/src/shares/ChargeQueue.ts
+++ b/packages/peer/src/shares/ChargeQueue.ts
@@ -98,15 +98,15 @@
   }
 
   private levelOf(team: TeamId): number {
-    return this.options.holder.current(team, this.now())?.bucket.level ?? 0;
+    return this.options.holder.getHeldShare(team, this.now())?.bucket.level ?? 0;
   }
 
   private hasShare(team: TeamId): boolean {
-    return (this.options.holder.current(team, this.now())?.share ?? 0) > 0;
+    return (this.options.holder.getHeldShare(team, this.now())?.share ?? 0) > 0;
   }
 
   private refusalAfterWait(team: TeamId, tokens: Tokens, rate: TeamRate): Refusal {
-    const held = this.options.holder.current(team, this.now());
+    const held = this.options.holder.getHeldShare(team, this.now());
     if (held === undefined || held.share === 0) return noShare(NO_SHARE_RETRY_MS);
     return overRate(tokens - held.bucket.level, rate);
   }
@@ -137,11 +137,11 @@
     const borrowed = lack <= 0 ? 0 : await borrow(team, lack);
     const isWaiting = waiting.has(charge);
     const needed = isWaiting ? charge.tokens : 0;
-    if (holder.chargeWith(team, needed, borrowed, this.now())) {
+    if (holder.chargeWithBorrowed(team, needed, borrowed, this.now())) {
       if (isWaiting) waiting.admit(charge);
       return true;
     }
-    holder.chargeWith(team, 0, borrowed, this.now());
+    holder.chargeWithBorrowed(team, 0, borrowed, this.now());
     const rate = rateOf(team);
     // Without any share here the steward is still to be heard; the wait has an end of its own.
     if (rate === undefined || lack <= 0 || !this.hasShare(team)) return false;
@@ -156,7 +156,7 @@
     waiting.startFetching();
     const { clock, holder, signal, syncTeam } = this.options;
     while (waiting.count > 0 && !signal.aborted) {
-      holder.touch(team, this.now());
+      holder.markDirty(team, this.now());
       await syncTeam(team);
       if (waiting.count > 0) await sleep(clock, ASK_AGAIN_MS, signal);
     }
--- a/packages/peer/src/shares/GroupAuthority.ts
+++ b/packages/peer/src/shares/GroupAuthority.ts
@@ -4,8 +4,8 @@
   memberKey,
   type PastEpoch,
   type RecordMember,
-  stewardAmong,
-  type StewardContext,
+  chooseCoordinator,
+  type CoordinatorContext,
 } from '@camphorvane/group';
 import type { ShareAuthority, ShareMember } from './ShareAuthority.ts';
 
@@ -63,7 +63,7 @@
     const record = this.record();
     if (record === undefined) return undefined;
     if (!this.stewards.has(team)) {
-      const steward = stewardAmong(teamKey(team), record.members);
+      const steward = chooseCoordinator(teamKey(team), record.members);
       this.stewards.set(team, steward && memberKey(steward));
     }
     return this.stewards.get(team);
@@ -81,18 +81,18 @@
     return this.coveredSince(record, since, isNamed) && isNamed(record.members);
   }
 
-  context(): StewardContext {
+  context(): CoordinatorContext {
     const record = this.record();
     const members = record?.members ?? [];
     const staying = members.filter((member) => !member.draining).map(memberKey);
     return {
       epoch: record?.epoch ?? 0,
       members: staying,
-      mayHold: record && this.mayHold(record),
-      isWholeHistory: this.isWholeHistory(members),
+      possibleHolders: record && this.mayHold(record),
+      isHistoryComplete: this.isWholeHistory(members),
       isFirstEpoch: record?.epoch === 1,
-      maySteward: (team) => this.source.maySteward(teamKey(team)),
-      stewardThroughout: (team, since) => this.stewardThroughout(team, since),
+      mayCoordinate: (team) => this.source.maySteward(teamKey(team)),
+      isCoordinatorThroughout: (team, since) => this.stewardThroughout(team, since),
     };
   }
 
@@ -100,7 +100,7 @@
     const record = this.record();
     if (record === undefined || this.stewardOf(team) !== this.selfKey) return false;
     return this.coveredSince(record, since, (members) => {
-      const steward = stewardAmong(teamKey(team), members);
+      const steward = chooseCoordinator(teamKey(team), members);
       return steward !== undefined && memberKey(steward) === this.selfKey;
     });
   }
--- a/packages/peer/src/shares/ShareAuthority.ts
+++ b/packages/peer/src/shares/ShareAuthority.ts
@@ -1,5 +1,5 @@
 import type { TeamId } from '@camphorvane/core';
-import type { StewardContext } from '@camphorvane/group';
+import type { CoordinatorContext } from '@camphorvane/group';
 import type { PeerAddress } from '../PeerLink.ts';
 
 /** A member of the group as rates see it. */
@@ -30,5 +30,5 @@
   memberThroughout(since: number): boolean;
 
   /** Gets what this host must know when it answers as a steward. */
-  context(): StewardContext;
+  context(): CoordinatorContext;
 }
--- a/packages/peer/src/shares/TeamRateDump.ts
+++ b/packages/peer/src/shares/TeamRateDump.ts
@@ -16,7 +16,7 @@
   waitingOf: (team: TeamId) => number,
 ): Readonly<Record<TeamId, TeamRateDump>> {
   const entries = [...holder.state.held.keys()].map((team) => {
-    const held = holder.current(team, now);
+    const held = holder.getHeldShare(team, now);
     const dump: TeamRateDump = {
       share: held?.share ?? 0,
       level: Math.floor(held?.bucket.level ?? 0),
--- a/packages/peer/src/shares/TeamRates.ts
+++ b/packages/peer/src/shares/TeamRates.ts
@@ -9,12 +9,12 @@
   type Tokens,
 } from '@camphorvane/core';
 import {
-  DEFAULT_SHARES,
+  DEFAULT_SHARE_SETTINGS,
   memberKey,
   ShareHolder,
   type ShareReply,
   type ShareSettings,
-  ShareSteward,
+  ShareCoordinator,
   type ShareSync,
 } from '@camphorvane/group';
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
@@ -56,7 +56,7 @@
 
   private readonly holder: ShareHolder;
 
-  private readonly steward: ShareSteward;
+  private readonly steward: ShareCoordinator;
 
   private readonly tasks = new Map<string, StewardTask>();
 
@@ -77,9 +77,9 @@
   /** @param options - The edges of this host. */
   constructor(options: TeamRatesOptions) {
     this.options = options;
-    this.settings = options.settings ?? DEFAULT_SHARES;
+    this.settings = options.settings ?? DEFAULT_SHARE_SETTINGS;
     this.holder = new ShareHolder(this.settings);
-    this.steward = new ShareSteward(this.settings);
+    this.steward = new ShareCoordinator(this.settings);
     this.queue = new ChargeQueue({
       clock: options.clock,
       holder: this.holder,
@@ -105,8 +105,8 @@
     this.rates = new Map(teams.map((team) => [team.id, team.rate]));
     const now = this.now();
     this.unplaced = [...this.rates.keys()];
-    this.holder.setTeams(this.rates, now);
-    this.steward.setTeams(this.rates, now);
+    this.holder.setRates(this.rates, now);
+    this.steward.setRates(this.rates, now);
   }
 
   /**
@@ -127,7 +127,7 @@
     }
     if (tokens > rate.burstTokens) return errAsync(overBurst(tokens, rate));
     const now = this.now();
-    this.holder.demand(team, tokens, now);
+    this.holder.recordDemand(team, tokens, now);
     const outcome = this.holder.charge(team, tokens, now);
     if (outcome.type === 'charged') return okAsync({ team, tokens });
     const isKnownShort = outcome.type === 'short' && this.queue.isExhausted(team, outcome.lack);
@@ -178,7 +178,7 @@
    * @returns A promise that resolves when all stewards have answered or were given up.
    */
   async handBack(): Promise<void> {
-    this.holder.epochChanged();
+    this.holder.handleEpochChange();
     const round = (): Promise<unknown> =>
       Promise.all(this.dueStewards().map((member) => this.taskOf(member).sync()));
     await round();
@@ -198,7 +198,7 @@
   private async run(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       this.tick();
-      await sleep(this.options.clock, this.settings.periodMs, this.stopping.signal);
+      await sleep(this.options.clock, this.settings.reportIntervalMs, this.stopping.signal);
     }
   }
 
@@ -221,8 +221,8 @@
     const own = this.unplaced
       .splice(0, TEAMS_PLACED_PER_PERIOD)
       .filter((team) => authority.stewardOf(team) === authority.self());
-    own.forEach((team) => this.steward.ensure(team, ctx, now));
-    this.unplaced.push(...own.filter((team) => !ctx.maySteward(team)));
+    own.forEach((team) => this.steward.ensureTeam(team, ctx, now));
+    this.unplaced.push(...own.filter((team) => !ctx.mayCoordinate(team)));
   }
 
   /** Presents what is held to the stewards of a new epoch. */
@@ -233,19 +233,19 @@
     if (!authority.memberThroughout(this.epoch)) this.holder.dropAll(this.now());
     this.epoch = epoch;
     this.unplaced = [...this.rates.keys()];
-    this.holder.epochChanged();
+    this.holder.handleEpochChange();
     const keys = new Set(authority.members().map((member) => member.key));
     [...this.tasks.keys()].filter((key) => !keys.has(key)).forEach((key) => this.tasks.delete(key));
   }
 
   private dueStewards(): readonly ShareMember[] {
     const { authority } = this.options;
-    const changed = new Set([...this.holder.changedTeams()].map((t) => authority.stewardOf(t)));
+    const changed = new Set([...this.holder.getDirtyTeams()].map((t) => authority.stewardOf(t)));
     const now = this.now();
     return authority.members().filter(({ key }) => {
       const sentAt = this.holder.lastSentAt(key);
-      const isRenewalDue = sentAt === undefined || now - sentAt >= this.settings.renewMs;
-      return isRenewalDue || changed.has(key) || this.holder.hasUnlisted(key);
+      const isRenewalDue = sentAt === undefined || now - sentAt >= this.settings.renewIntervalMs;
+      return isRenewalDue || changed.has(key) || this.holder.hasUnreportedShares(key);
     });
   }
 
@@ -262,7 +262,7 @@
           ? { reply: this.answerAsSteward(member.key, message) }
           : undefined,
       onReply: (reply) => this.takeReply(member.key, reply),
-      onFailure: () => this.holder.failed(member.key),
+      onFailure: () => this.holder.handleSyncFailure(member.key),
     });
     this.tasks.set(member.key, task);
     return task;
@@ -272,12 +272,12 @@
     const { authority } = this.options;
     this.followEpoch();
     const lookup = (team: TeamId): string | undefined => authority.stewardOf(team);
-    return this.holder.sync(steward, this.epoch, lookup, this.now());
+    return this.holder.createSync(steward, this.epoch, lookup, this.now());
   }
 
   private answerAsSteward(holder: string, message: ShareSync): ShareReply | undefined {
     const { authority } = this.options;
-    const answer = this.steward.answer(holder, message, authority.context(), this.now());
+    const answer = this.steward.handleSync(holder, message, authority.context(), this.now());
     answer?.nudges.forEach((nudge) => this.nudge(nudge.holder, nudge.teams));
     return answer?.reply;
   }
@@ -290,12 +290,12 @@
     }
     const member = authority.members().find((one) => one.key === holder);
     if (member === undefined) return;
-    void link.ask(member.address, { type: 'share_nudge', teams }, this.settings.periodMs);
+    void link.ask(member.address, { type: 'share_nudge', teams }, this.settings.reportIntervalMs);
   }
 
   private nudged(steward: string, teams: readonly TeamId[]): void {
     const now = this.now();
-    teams.forEach((team) => this.holder.touch(team, now));
+    teams.forEach((team) => this.holder.markDirty(team, now));
     this.syncSoon(steward);
   }
 
@@ -330,9 +330,9 @@
     const { authority } = this.options;
     const now = this.now();
     const lookup = (team: TeamId): string | undefined => authority.stewardOf(team);
-    const grants = this.holder.apply(steward, reply, lookup, now);
+    const grants = this.holder.applyReply(steward, reply, lookup, now);
     grants.forEach((grant) => this.queue.serve(grant.team));
-    const isUrgent = grants.some((grant) => this.holder.hasGift(grant.team));
-    if (isUrgent || this.holder.hasUnlisted(steward)) this.syncSoon(steward);
+    const isUrgent = grants.some((grant) => this.holder.hasUnreportedReturn(grant.team));
+    if (isUrgent || this.holder.hasUnreportedShares(steward)) this.syncSoon(steward);
   }
 }
--- a/packages/peer/tests/group/failures.test.ts
+++ b/packages/peer/tests/group/failures.test.ts
@@ -53,7 +53,7 @@
   world.isCut = (a, b) => a === 'h3' || b === 'h3';
   await world.run(T);
   assert.equal(world.runner('h3').mayAct(), false);
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 2_000);
+  await world.run(SETTINGS.suspectTimeoutMs + TAKEOVER + 2_000);
   assertEveryKeyServed(world);
   world.isCut = () => false;
   await world.run(20_000);
@@ -85,7 +85,7 @@
   await world.run(T);
   assert.equal(world.runner('h1').mayAct(), false);
   assert.equal(world.runner('h2').mayAct(), false);
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 3_000);
+  await world.run(SETTINGS.suspectTimeoutMs + TAKEOVER + 3_000);
   assert.deepEqual(storedMembers(world), ['h3', 'h4', 'h5']);
   assertEveryKeyServed(world);
 });
@@ -97,7 +97,7 @@
   await world.startGroup(5);
   const sleeper = world.host('h2');
   sleeper.clock.pause();
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 5_000);
+  await world.run(SETTINGS.suspectTimeoutMs + TAKEOVER + 5_000);
   assertEveryKeyServed(world);
   assert.equal(sleeper.runner.mayAct(), false);
   sleeper.clock.resume();
@@ -140,7 +140,7 @@
   await world.startGroup(5);
   world.platform.lostAnswers = 1;
   world.crash('h1');
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 5_000);
+  await world.run(SETTINGS.suspectTimeoutMs + TAKEOVER + 5_000);
   assert.equal(world.platform.lostAnswers, 0);
   assert.deepEqual(world.membersAt('h2'), ['h2', 'h3', 'h4', 'h5']);
   assertEveryKeyServed(world);
@@ -206,7 +206,7 @@
     await before;
     const hosts = ids.filter((_, index) => index % 3 === zone);
     hosts.forEach((id) => world.crash(id));
-    await world.run(SETTINGS.suspectMs + TAKEOVER + 5_000);
+    await world.run(SETTINGS.suspectTimeoutMs + TAKEOVER + 5_000);
     assertEveryKeyServed(world);
     hosts.forEach((id) => world.start(id));
     await world.run(15_000);
@@ -250,7 +250,7 @@
   await world.startGroup(3);
   const { epoch } = world.runner('h1').view();
   world.platform.objects.clear();
-  await world.run(2 * SETTINGS.platformReadMs);
+  await world.run(2 * SETTINGS.recordReadIntervalMs);
   assert.ok(world.runner('h1').view().epoch > epoch);
   world.start('h4');
   await world.run(10_000);
--- a/packages/peer/tests/support/GroupWorld.ts
+++ b/packages/peer/tests/support/GroupWorld.ts
@@ -1,7 +1,7 @@
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 import { RandomSource, sleep, VirtualClock, type HostId, type Millis } from '@camphorvane/core';
 import {
-  DEFAULT_MEMBERSHIP,
+  DEFAULT_MEMBERSHIP_SETTINGS,
   type MemberIdentity,
   type MembershipSettings,
 } from '@camphorvane/group';
@@ -16,7 +16,7 @@
 import { FakePlatform } from './FakePlatform.ts';
 import { HostClock } from './HostClock.ts';
 
-export const SETTINGS: MembershipSettings = DEFAULT_MEMBERSHIP;
+export const SETTINGS: MembershipSettings = DEFAULT_MEMBERSHIP_SETTINGS;
 
 const ZONES = ['north', 'middle', 'south'];
 
--- a/packages/peer/tests/support/RateFleet.ts
+++ b/packages/peer/tests/support/RateFleet.ts
@@ -114,14 +114,14 @@
       context: () => ({
         epoch: this.epochs.length,
         members: this.members().map((member) => member.key),
-        mayHold: this.mayHold(),
-        isWholeHistory: this.epochs.length === 1,
+        possibleHolders: this.mayHold(),
+        isHistoryComplete: this.epochs.length === 1,
         isFirstEpoch: this.epochs.length === 1,
-        maySteward: (id) =>
+        mayCoordinate: (id) =>
           this.stewardOf(id) === self &&
           (this.clock.now() >= this.settledAt || throughout(id, this.epochs.length - 1)) &&
           this.epochs.at(-1)?.members.includes(self) === true,
-        stewardThroughout: throughout,
+        isCoordinatorThroughout: throughout,
       }),
     };
   }
--- a/packages/router/src/cli/declarationCommands.ts
+++ b/packages/router/src/cli/declarationCommands.ts
@@ -1,7 +1,7 @@
 import { randomBytes, randomInt } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { RandomSource, SystemClock } from '@camphorvane/core';
-import type { CommandResult, NamedText } from '@camphorvane/operator';
+import type { CommandResult, DeclarationsFile } from '@camphorvane/operator';
 import { EXIT, applyCommand, checkCommand, diffCommand } from '@camphorvane/operator';
 import { HttpObjectStore } from '@camphorvane/store';
 import type { CommandModule } from 'yargs';
@@ -103,7 +103,7 @@
   },
 };
 
-async function apply(args: ApplyArgs, declarations: NamedText): Promise<CommandResult> {
+async function apply(args: ApplyArgs, declarations: DeclarationsFile): Promise<CommandResult> {
   const base = args['base-file'] === undefined ? undefined : readNamedText(args['base-file']);
   if (base === 'unreadable') return unreadable(args['base-file'] ?? '');
   const context = {
@@ -125,20 +125,20 @@
   return new HttpObjectStore({ baseUrl, clock: new SystemClock() });
 }
 
-function withFile(file: string, run: (text: NamedText) => CommandResult): CommandResult {
+function withFile(file: string, run: (text: DeclarationsFile) => CommandResult): CommandResult {
   const namedText = readNamedText(file);
   return namedText === 'unreadable' ? unreadable(file) : run(namedText);
 }
 
 async function withFileAsync(
   file: string,
-  run: (text: NamedText) => Promise<CommandResult>,
+  run: (text: DeclarationsFile) => Promise<CommandResult>,
 ): Promise<CommandResult> {
   const namedText = readNamedText(file);
   return namedText === 'unreadable' ? unreadable(file) : run(namedText);
 }
 
-function readNamedText(file: string): NamedText | 'unreadable' {
+function readNamedText(file: string): DeclarationsFile | 'unreadable' {
   try {
     return { file, text: readFileSync(file, 'utf8') };
   } catch {
--- a/packages/router/src/coordination/GroupCoordination.ts
+++ b/packages/router/src/coordination/GroupCoordination.ts
@@ -1,7 +1,7 @@
 import type { HostId, Incarnation, Millis, ModelId } from '@camphorvane/core';
 import { sleep } from '@camphorvane/core';
 import { RetryBudget, SlowStart } from '@camphorvane/decisions';
-import { DEFAULT_MEMBERSHIP, memberKey } from '@camphorvane/group';
+import { DEFAULT_MEMBERSHIP_SETTINGS, memberKey } from '@camphorvane/group';
 import type { PeerLink, PeerRequest, PeerResponse, PeerSender } from '@camphorvane/peer';
 import { GroupAuthority, GroupRunner, TeamRates } from '@camphorvane/peer';
 import type { HostRegistry, ObjectStore } from '@camphorvane/store';
@@ -96,7 +96,7 @@
     this.runner = new GroupRunner({
       group: options.group,
       self: { ...identity, incarnation },
-      settings: { ...DEFAULT_MEMBERSHIP, maxMembers: options.groupSize },
+      settings: { ...DEFAULT_MEMBERSHIP_SETTINGS, maxMembers: options.groupSize },
       clock,
       random,
       store: new BudgetedStore(store, budget, 'membership'),
--- a/packages/scenario/tests/checks.test.ts
+++ b/packages/scenario/tests/checks.test.ts
@@ -102,7 +102,7 @@
 
 test('a server that runs each call twice is found out', async () => {
   // The service itself books a lot twice for one call: the buyer sees two reservations.
-  const result = await run(CALLS, 'none', { runsPerCall: 2 });
+  const result = await run(CALLS, 'none', { executionsPerCall: 2 });
   assert.ok(result.violations.some((violation) => violation.check === 'at_most_once'));
 });
 
--- a/packages/stand-ins/src/demo/DemoFleet.ts
+++ b/packages/stand-ins/src/demo/DemoFleet.ts
@@ -60,8 +60,8 @@
   }
 
   /** Gets the processes that have exited; before {@link stop} these are unexpected exits. */
-  deadProcesses(): readonly DemoProcess[] {
-    return this.processes.filter((proc) => proc.hasEnded);
+  exitedProcesses(): readonly DemoProcess[] {
+    return this.processes.filter((proc) => proc.hasExited);
   }
 
   /** Stops all processes; signals hosts first, so that they can leave the fleet. */
@@ -89,7 +89,7 @@
   private async launch(name: string, args: readonly string[]): Promise<number> {
     const started = DemoProcess.start(name, args, this.clock);
     this.processes.push(started);
-    const port = await started.port();
+    const port = await started.waitForPort();
     if (port === undefined) throw new Error(`${name} did not start: ${started.lastOutput}`);
     return port;
   }
--- a/packages/stand-ins/src/demo/DemoProcess.ts
+++ b/packages/stand-ins/src/demo/DemoProcess.ts
@@ -49,7 +49,7 @@
   }
 
   /** Tells whether the process has exited. */
-  get hasEnded(): boolean {
+  get hasExited(): boolean {
     return this.child.exitCode !== null || this.child.signalCode !== null;
   }
 
@@ -58,10 +58,10 @@
    *
    * @returns The port, or undefined if the process exited or the wait timed out.
    */
-  async port(): Promise<number | undefined> {
+  async waitForPort(): Promise<number | undefined> {
     const deadline = this.clock.now() + READY_TIMEOUT_MS;
     let found = this.printedPort();
-    while (found === undefined && !this.hasEnded && this.clock.now() < deadline) {
+    while (found === undefined && !this.hasExited && this.clock.now() < deadline) {
       await new Promise<void>((resolve) => {
         this.clock.after(50, resolve);
       });
@@ -72,7 +72,7 @@
 
   /** Stops the process with SIGTERM, and with SIGKILL if it has not exited after the timeout. */
   async stop(): Promise<void> {
-    if (this.hasEnded) return;
+    if (this.hasExited) return;
     this.child.kill('SIGTERM');
     const cancelKill = this.clock.after(STOP_TIMEOUT_MS, () => this.child.kill('SIGKILL'));
     await this.exited;
--- a/packages/stand-ins/src/demo/DemoCounts.ts
+++ b/packages/stand-ins/src/demo/DemoResults.ts
@@ -8,7 +8,7 @@
   | { readonly type: 'broken'; readonly message: string };
 
 /** Result of one request of the demo, as its caller saw it. */
-export interface DemoAnswer {
+export interface DemoResult {
   readonly kind: string;
   readonly outcome: DemoOutcome;
   /** Time to the first token, or to the answer of a plain service, in milliseconds. */
@@ -16,7 +16,7 @@
   /** Token intervals in milliseconds. */
   readonly gapsMs: readonly number[];
   /** Number of end markers received; more than one is an error. */
-  readonly ends: number;
+  readonly endMarkers: number;
 }
 
 const MICROS_PER_MS = 1000;
@@ -32,11 +32,11 @@
 }
 
 /** Collects the results of all requests and formats them as a table. */
-export class DemoCounts {
-  private readonly answers: DemoAnswer[] = [];
+export class DemoResults {
+  private readonly answers: DemoResult[] = [];
 
   /** Adds the result of a request. */
-  add(answer: DemoAnswer): void {
+  add(answer: DemoResult): void {
     this.answers.push(answer);
   }
 
@@ -47,7 +47,7 @@
 
   /** Gets the number of requests that were answered more than once. */
   get answeredTwice(): number {
-    return this.answers.filter((answer) => answer.ends > 1).length;
+    return this.answers.filter((answer) => answer.endMarkers > 1).length;
   }
 
   /** Gets the number of refusals by error code. */
--- a/packages/stand-ins/src/demo/demoCalls.ts
+++ b/packages/stand-ins/src/demo/demoCalls.ts
@@ -3,7 +3,7 @@
 import { request } from 'undici';
 import { answerText } from '../engine/answer.ts';
 import type { ServiceAnswerBody } from '../service/ServiceCore.ts';
-import type { DemoAnswer, DemoOutcome } from './DemoCounts.ts';
+import type { DemoResult, DemoOutcome } from './DemoResults.ts';
 
 /** Host and API key of a call. */
 export interface DemoTarget {
@@ -55,15 +55,15 @@
  * @param completion - The request.
  * @returns The result.
  */
-export async function complete(
+export async function sendCompletion(
   clock: Clock,
   target: DemoTarget,
   completion: DemoCompletion,
-): Promise<DemoAnswer> {
+): Promise<DemoResult> {
   const started = clock.now();
   const times: number[] = [];
   const texts: string[] = [];
-  let ends = 0;
+  let endMarkers = 0;
   let failure: DemoOutcome | undefined;
   const res = await request(`http://${target.host}/v1/completions`, {
     method: 'POST',
@@ -77,10 +77,10 @@
   });
   if (res.statusCode !== 200) {
     const outcome = refusalOf(await res.body.text());
-    return { kind: completion.kind, outcome, gapsMs: [], ends: 0 };
+    return { kind: completion.kind, outcome, gapsMs: [], endMarkers: 0 };
   }
   for await (const data of parseEvents(res.body)) {
-    if (data === '[DONE]') ends += 1;
+    if (data === '[DONE]') endMarkers += 1;
     else {
       const chunk = JSON.parse(data) as Chunk;
       if (chunk.error !== undefined) failure = refusalOf(data);
@@ -100,7 +100,7 @@
     outcome: failure ?? whole,
     firstMs: times[0] === undefined ? undefined : times[0] - started,
     gapsMs: times.slice(1).map((time, index) => time - (times[index] ?? time)),
-    ends,
+    endMarkers,
   };
 }
 
@@ -118,7 +118,7 @@
   target: DemoTarget,
   id: string,
   kind: 'issue' | 'lookup',
-): Promise<DemoAnswer> {
+): Promise<DemoResult> {
   const started = clock.now();
   const body = JSON.stringify({ batch: id });
   const isIssue = kind === 'issue';
@@ -130,11 +130,12 @@
   });
   const text = await res.body.text();
   const label = isIssue ? 'certificate' : 'yard lookup';
-  if (res.statusCode !== 200) return { kind: label, outcome: refusalOf(text), gapsMs: [], ends: 0 };
+  if (res.statusCode !== 200)
+    return { kind: label, outcome: refusalOf(text), gapsMs: [], endMarkers: 0 };
   const answer = JSON.parse(text) as ServiceAnswerBody;
   const isOwn = answer.path === path && answer.bodyDigest === sha256Hex(isIssue ? body : '');
   const outcome: DemoOutcome = isOwn
     ? { type: 'whole' }
     : { type: 'broken', message: 'the answer belongs to another call' };
-  return { kind: label, outcome, firstMs: clock.now() - started, gapsMs: [], ends: 1 };
+  return { kind: label, outcome, firstMs: clock.now() - started, gapsMs: [], endMarkers: 1 };
 }
--- a/packages/stand-ins/src/demo/demoLoad.ts
+++ b/packages/stand-ins/src/demo/demoLoad.ts
@@ -1,21 +1,21 @@
 import { sleep } from '@camphorvane/core';
 import type { Clock, Millis, RandomSource } from '@camphorvane/core';
-import { callCertificates, complete } from './demoCalls.ts';
+import { callCertificates, sendCompletion } from './demoCalls.ts';
 import type { DemoTarget } from './demoCalls.ts';
-import type { DemoAnswer, DemoCounts } from './DemoCounts.ts';
+import type { DemoResult, DemoResults } from './DemoResults.ts';
 
 /** Dependencies of the load generator. */
 export interface DemoLoad {
   readonly clock: Clock;
   readonly random: RandomSource;
-  readonly counts: DemoCounts;
+  readonly counts: DemoResults;
   /** Picks a host and a team for each request. */
   readonly target: () => DemoTarget;
   /** Stops the load early. */
   readonly stopped: AbortSignal;
 }
 
-type SendRequest = (id: string) => Promise<DemoAnswer>;
+type SendRequest = (id: string) => Promise<DemoResult>;
 
 interface RequestStream {
   readonly name: string;
@@ -36,7 +36,7 @@
   const completion = (kind: string, tokens: number, maxTokens: number): SendRequest => {
     const cls = kind === 'summary' ? 'summary' : 'lookup';
     return (id) =>
-      complete(clock, target(), {
+      sendCompletion(clock, target(), {
         kind,
         prompt: buildPrompt(id, tokens, maxTokens),
         maxTokens,
@@ -64,9 +64,14 @@
     sent += 1;
     const sending = stream
       .send(`${stream.name}-${sent}`)
-      .catch((error: unknown): DemoAnswer => {
+      .catch((error: unknown): DemoResult => {
         const message = error instanceof Error ? error.message : 'failed';
-        return { kind: stream.name, outcome: { type: 'broken', message }, gapsMs: [], ends: 0 };
+        return {
+          kind: stream.name,
+          outcome: { type: 'broken', message },
+          gapsMs: [],
+          endMarkers: 0,
+        };
       })
       .then((answer) => counts.add(answer));
     inFlight.push(sending);
--- a/packages/stand-ins/src/demo/demoSetup.ts
+++ b/packages/stand-ins/src/demo/demoSetup.ts
@@ -3,7 +3,7 @@
 import { RandomSource, sleep } from '@camphorvane/core';
 import { applyConfig, parseDeclarations } from '@camphorvane/operator';
 import { HttpObjectStore } from '@camphorvane/store';
-import { callCertificates, complete } from './demoCalls.ts';
+import { callCertificates, sendCompletion } from './demoCalls.ts';
 import type { DemoTeam } from './demoDeclarations.ts';
 import { demoDeclarations } from './demoDeclarations.ts';
 import type { DemoAddresses } from './DemoFleet.ts';
@@ -39,7 +39,7 @@
  * @param signal - Ends the waits early.
  * @returns Version of the configuration in force.
  */
-export async function setUp(
+export async function setUpFleet(
   clock: Clock,
   at: DemoAddresses,
   teams: readonly [DemoTeam, ...DemoTeam[]],
@@ -75,7 +75,7 @@
     };
     const answers = await Promise.all([
       callCertificates(clock, target, 'ready', 'lookup'),
-      complete(clock, target, completion),
+      sendCompletion(clock, target, completion),
     ]);
     return answers.every((answer) => answer.outcome.type === 'whole');
   };
--- a/packages/stand-ins/src/demo/main.ts
+++ b/packages/stand-ins/src/demo/main.ts
@@ -3,11 +3,11 @@
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import type { ExecutionRecord } from '../engine/ExecutionRecord.ts';
-import { DemoCounts } from './DemoCounts.ts';
+import { DemoResults } from './DemoResults.ts';
 import type { DemoTeam } from './demoDeclarations.ts';
 import type { DemoAddresses } from './DemoFleet.ts';
 import { DemoFleet } from './DemoFleet.ts';
-import { demoTeam, setUp } from './demoSetup.ts';
+import { demoTeam, setUpFleet } from './demoSetup.ts';
 import { runLoad } from './demoLoad.ts';
 
 const SECOND_MS = 1000;
@@ -45,11 +45,11 @@
   const at = await fleet.start();
   const first = demoTeam('labs', TOKENS_PER_SECOND);
   const second = demoTeam('ports', TOKENS_PER_SECOND);
-  const version = await setUp(clock, at, [first, second], stopped.signal);
+  const version = await setUpFleet(clock, at, [first, second], stopped.signal);
   printLine(`configuration in force as version ${version}; all hosts serve`);
   printLine(`3 hosts, 2 prefill and 2 decode engines, 1 certificate service: load for ${forMs} ms`);
   const random = new RandomSource(seed);
-  const counts = new DemoCounts();
+  const counts = new DemoResults();
   const target = () => ({
     host: at.hosts[random.int(0, at.hosts.length - 1)] ?? '',
     key: (random.int(0, 1) === 0 ? first : second).key,
@@ -59,7 +59,7 @@
   counts.lines().forEach(printLine);
   printLine(`certificates issued twice: ${repeatedIssues}`);
   counts.broken.forEach((line) => printLine(`  ${line}`));
-  const dead = fleet.deadProcesses();
+  const dead = fleet.exitedProcesses();
   dead.forEach((proc) => printLine(`${proc.name} exited unexpectedly: ${proc.lastOutput}`));
   if (stay && !stopped.signal.aborted) {
     printCurl(at, first);
--- a/packages/stand-ins/src/engine/DecodeBatch.ts
+++ b/packages/stand-ins/src/engine/DecodeBatch.ts
@@ -10,13 +10,13 @@
 export type DecodeQueue = EventQueue<Result<DecodeEvent, UpstreamError>>;
 
 /** Callbacks of a batch to its engine. */
-export interface DecodeBatchOwner {
+export interface DecodeBatchCallbacks {
   /** Gets the duration of a step with the given number of streams. */
   stepMs(streams: number): Millis;
   /** Tells whether the engine is stalled: steps pass but produce no tokens. */
-  isStopped(): boolean;
+  isStalled(): boolean;
   /** Called after a stream has emitted its complete answer. */
-  finished(stream: DecodeStream): void;
+  onFinished(stream: DecodeStream): void;
 }
 
 /** A decode stream in the batch. */
@@ -41,7 +41,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly owner: DecodeBatchOwner,
+    private readonly owner: DecodeBatchCallbacks,
   ) {}
 
   /** Gets the number of streams. */
@@ -66,12 +66,12 @@
   }
 
   /** Gets the streams of an attempt. */
-  find(attempt: AttemptId): readonly DecodeStream[] {
+  streamsOf(attempt: AttemptId): readonly DecodeStream[] {
     return [...this.streams.keys()].filter((stream) => stream.cmd.attempt === attempt);
   }
 
   /** Ends all streams with an error, as a crash does. */
-  breakAll(message: string): void {
+  failAll(message: string): void {
     [...this.streams.keys()].forEach((stream) => {
       stream.queue.push(err({ type: 'broken', dispatched: true, message }));
       this.remove(stream);
@@ -83,7 +83,7 @@
     this.stepping = true;
     this.clock.after(this.owner.stepMs(this.streams.size), () => {
       this.stepping = false;
-      if (!this.owner.isStopped()) {
+      if (!this.owner.isStalled()) {
         [...this.streams.entries()].forEach(([stream, progress]) => this.advance(stream, progress));
       }
       this.schedule();
@@ -107,6 +107,6 @@
     const reason = length === maxTokens ? 'length' : 'stop';
     stream.queue.push(ok({ type: 'done', attempt, reason, outputTokens: length }));
     this.remove(stream);
-    this.owner.finished(stream);
+    this.owner.onFinished(stream);
   }
 }
--- a/packages/stand-ins/src/engine/EngineCore.ts
+++ b/packages/stand-ins/src/engine/EngineCore.ts
@@ -22,7 +22,7 @@
 import { answerToken } from './answer.ts';
 import { DecodeBatch } from './DecodeBatch.ts';
 import type { DecodeStream } from './DecodeBatch.ts';
-import { REFUSED, rejected } from './engineErrors.ts';
+import { CONNECTION_REFUSED, rejected } from './engineErrors.ts';
 import type { EngineFaults } from './EngineFaults.ts';
 import { NO_ENGINE_FAULTS } from './EngineFaults.ts';
 import type { EngineSettings } from './EngineSettings.ts';
@@ -32,12 +32,12 @@
 import { KvStore } from './KvStore.ts';
 import { PrefixCache } from './PrefixCache.ts';
 import type { CacheEventBatch } from './PrefixCache.ts';
-import { SerialLane } from './SerialLane.ts';
-import { interruptible, manyListeners } from './interruptible.ts';
-import type { Waited } from './interruptible.ts';
+import { SerialTaskQueue } from './SerialTaskQueue.ts';
+import { waitOrAbort, sharedAbortController } from './waitOrAbort.ts';
+import type { WaitResult } from './waitOrAbort.ts';
 
 /** Fetches a KV cache from another engine; undefined if evicted or the engine is unreachable. */
-export type KvSource = (sourceUrl: string, handle: string) => Promise<KvCache | undefined>;
+export type KvFetcher = (sourceUrl: string, handle: string) => Promise<KvCache | undefined>;
 
 type Outcome<T> = Result<T, UpstreamError>;
 
@@ -57,7 +57,7 @@
 
   private readonly ordersTaken: EngineOrder[] = [];
 
-  private crashController = manyListeners();
+  private crashController = sharedAbortController();
 
   private readonly kv: KvStore;
 
@@ -65,9 +65,9 @@
 
   private readonly prefixCache: PrefixCache;
 
-  private readonly prefillQueue = new SerialLane();
+  private readonly prefillQueue = new SerialTaskQueue();
 
-  private readonly linkQueue = new SerialLane();
+  private readonly linkQueue = new SerialTaskQueue();
 
   private readonly inflight = new Map<AttemptId, AbortController>();
 
@@ -81,15 +81,15 @@
   constructor(
     private readonly settings: EngineSettings,
     private readonly clock: Clock,
-    private readonly source: KvSource,
+    private readonly source: KvFetcher,
   ) {
     this.role = settings.role;
     this.kv = new KvStore(clock);
     this.prefixCache = new PrefixCache(settings, clock);
     this.batch = new DecodeBatch(clock, {
       stepMs: (streams) => this.stepMs(streams),
-      isStopped: () => this.faultState.silent,
-      finished: (stream) => this.kv.drop(stream.entry.handle),
+      isStalled: () => this.faultState.silent,
+      onFinished: (stream) => this.kv.drop(stream.entry.handle),
     });
   }
 
@@ -116,8 +116,8 @@
   /** Fails all running commands and clears all memory; restarts after `restartMs`, if set. */
   crash(): void {
     this.crashController.abort();
-    this.crashController = manyListeners();
-    this.batch.breakAll('engine crashed');
+    this.crashController = sharedAbortController();
+    this.batch.failAll('engine crashed');
     this.kv.clear();
     this.prefixCache.clear();
     this.setFaults({ down: true, silent: false });
@@ -132,7 +132,7 @@
       usedPieces: this.kv.usedPieces(),
       memoryPieces: this.settings.memoryPieces,
       running: this.batch.size(),
-      waiting: this.prefillQueue.waiting() + this.linkQueue.waiting(),
+      waiting: this.prefillQueue.queuedCount() + this.linkQueue.queuedCount(),
       attempts: this.kv.attempts(),
     };
   }
@@ -163,7 +163,7 @@
       queue.end();
       return queue;
     };
-    if (this.faultState.down) return fail(REFUSED);
+    if (this.faultState.down) return fail(CONNECTION_REFUSED);
     const entry = cmd.kvHandle === undefined ? undefined : this.kv.get(cmd.kvHandle);
     if (entry === undefined) return fail(rejected(`no KV cache ${cmd.kvHandle}`));
     this.record('decode', cmd.attempt, entry.cache.prompt, 0);
@@ -177,9 +177,9 @@
 
   /** Aborts the commands of an attempt and frees its memory on this engine. */
   cancel(attempt: AttemptId): ResultAsync<void, UpstreamError> {
-    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
+    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(CONNECTION_REFUSED)));
     this.inflight.get(attempt)?.abort();
-    this.batch.find(attempt).forEach((stream) => {
+    this.batch.streamsOf(attempt).forEach((stream) => {
       this.batch.remove(stream);
       this.kv.drop(stream.entry.handle);
     });
@@ -189,7 +189,7 @@
 
   /** Reads the load of about `reportLagMs` ago, or one without work if there is none that old. */
   load(): ResultAsync<LoadReport, UpstreamError> {
-    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
+    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(CONNECTION_REFUSED)));
     const now = this.clock.now();
     this.loadReports = [...this.loadReports, { at: now, load: this.currentLoad() }];
     const due = this.loadReports.filter((report) => report.at <= now - this.settings.reportLagMs);
@@ -206,7 +206,7 @@
 
   /** Applies an order; rejects a stale fencing token if this engine checks fencing. */
   order(order: EngineOrder): ResultAsync<void, UpstreamError> {
-    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
+    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(CONNECTION_REFUSED)));
     if (this.settings.checksFencing && order.fence < this.fence) {
       return new ResultAsync(Promise.resolve(err(rejected(`fence ${order.fence} is stale`))));
     }
@@ -218,7 +218,7 @@
 
   /** Reads prefix cache events, which are delayed and have gaps. */
   cacheEvents(after: number): CacheEventBatch {
-    return this.prefixCache.read(after);
+    return this.prefixCache.eventsAfter(after);
   }
 
   /** Gets a KV cache for transfer to another engine; undefined if it is not stored here. */
@@ -234,7 +234,7 @@
     const prompt = getPromptText(cmd.prompt);
     if (prompt === undefined) return err(rejected('this engine accepts text prompts only'));
     const promptTokens = estimateTokens(prompt + cmd.continuation);
-    const cachedTokens = this.prefixCache.use(prompt);
+    const cachedTokens = this.prefixCache.lookUpAndStore(prompt);
     const computed = Math.max(1, promptTokens - cachedTokens);
     this.record('prefill', cmd.attempt, prompt, computed);
     if (this.crashIfPoisoned(prompt)) return err(this.crashError());
@@ -244,7 +244,7 @@
     const kvHandle = `${this.id}/${cmd.attempt}`;
     const pieces = piecesFor(promptTokens);
     const cache = { prompt, continuation: cmd.continuation, pieces };
-    this.kv.put({ handle: kvHandle, attempt: cmd.attempt, cache, pieces }, this.settings.kvLifeMs);
+    this.kv.put({ handle: kvHandle, attempt: cmd.attempt, cache, pieces }, this.settings.kvTtlMs);
     return ok({ attempt: cmd.attempt, kvHandle, promptTokens, cachedTokens });
   }
 
@@ -263,11 +263,11 @@
     return this.interruptionError(signal, true);
   }
 
-  private fetchOverLink(cache: KvCache, signal: AbortSignal): Promise<Waited> {
+  private fetchOverLink(cache: KvCache, signal: AbortSignal): Promise<WaitResult> {
     const { stalledTransfers } = this.faultState;
     if (stalledTransfers > 0) {
       this.setFaults({ stalledTransfers: stalledTransfers - 1 });
-      return interruptible(this.clock, undefined, signal);
+      return waitOrAbort(this.clock, undefined, signal);
     }
     const millis = (cache.pieces / this.settings.linkPiecesPerSecond) * 1000;
     return this.waitWithFaults(millis * this.faultState.slowFactor, signal);
@@ -296,7 +296,7 @@
     signal: AbortSignal,
     run: (combined: AbortSignal) => Promise<Outcome<T>>,
   ): ResultAsync<T, UpstreamError> {
-    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(REFUSED)));
+    if (this.faultState.down) return new ResultAsync(Promise.resolve(err(CONNECTION_REFUSED)));
     const controller = new AbortController();
     this.inflight.set(attempt, controller);
     const combined = AbortSignal.any([signal, controller.signal, this.crashController.signal]);
@@ -306,10 +306,10 @@
     return new ResultAsync(done);
   }
 
-  private async waitWithFaults(millis: Millis, signal: AbortSignal): Promise<Waited> {
-    const waited = await interruptible(this.clock, millis + this.faultState.delayMs, signal);
+  private async waitWithFaults(millis: Millis, signal: AbortSignal): Promise<WaitResult> {
+    const waited = await waitOrAbort(this.clock, millis + this.faultState.delayMs, signal);
     if (waited === 'elapsed' && this.faultState.silent) {
-      return interruptible(this.clock, undefined, signal);
+      return waitOrAbort(this.clock, undefined, signal);
     }
     return waited;
   }
--- a/packages/stand-ins/src/engine/EngineSettings.ts
+++ b/packages/stand-ins/src/engine/EngineSettings.ts
@@ -14,14 +14,14 @@
   /** Added to the duration of a decode step for each stream in the batch. */
   readonly decodePerStreamMs: Millis;
   /** TTL of the KV cache that a prefill leaves. */
-  readonly kvLifeMs: Millis;
+  readonly kvTtlMs: Millis;
   readonly linkPiecesPerSecond: number;
   readonly reportLagMs: Millis;
   /** Capacity of the prefix cache, in blocks of {@link BLOCK_CHARS} characters. */
   readonly cacheBlocks: number;
   readonly cacheEventDelayMs: Millis;
   /** Every n-th cache event is lost; 0 loses none. */
-  readonly cacheEventGap: number;
+  readonly cacheEventLossInterval: number;
   /** Time from a crash to the restart; undefined keeps the engine down. */
   readonly restartMs: Millis | undefined;
 }
@@ -45,12 +45,12 @@
     prefillMsPerToken: 0.25,
     decodeBaseMs: 12,
     decodePerStreamMs: 0.8,
-    kvLifeMs: 900,
+    kvTtlMs: 900,
     linkPiecesPerSecond: 60,
     reportLagMs: 500,
     cacheBlocks: 256,
     cacheEventDelayMs: 700,
-    cacheEventGap: 5,
+    cacheEventLossInterval: 5,
     restartMs: undefined,
     ...given,
   };
--- a/packages/stand-ins/src/engine/PrefixCache.ts
+++ b/packages/stand-ins/src/engine/PrefixCache.ts
@@ -21,7 +21,7 @@
 export interface PrefixCacheSettings {
   readonly cacheBlocks: number;
   readonly cacheEventDelayMs: Millis;
-  readonly cacheEventGap: number;
+  readonly cacheEventLossInterval: number;
 }
 
 interface DelayedEvent extends CacheEvent {
@@ -47,7 +47,7 @@
    * @param text - The prompt.
    * @returns Number of tokens that were cached already.
    */
-  use(text: string): Tokens {
+  lookUpAndStore(text: string): Tokens {
     const prefixes = Array.from({ length: Math.floor(text.length / BLOCK_CHARS) }, (_, index) =>
       text.slice(0, (index + 1) * BLOCK_CHARS),
     );
@@ -69,7 +69,7 @@
    * @param after - Sequence number of the last event read.
    * @returns Later events in order; lost events are never delivered.
    */
-  read(after: number): CacheEventBatch {
+  eventsAfter(after: number): CacheEventBatch {
     const now = this.clock.now();
     const events = this.events
       .filter((event) => event.sequence > after && event.visibleAt <= now)
@@ -89,7 +89,7 @@
 
   private publish(digest: string, change: CacheEvent['change']): void {
     this.sequence += 1;
-    const lossInterval = this.settings.cacheEventGap;
+    const lossInterval = this.settings.cacheEventLossInterval;
     if (lossInterval > 0 && this.sequence % lossInterval === 0) return;
     const visibleAt = this.clock.now() + this.settings.cacheEventDelayMs;
     this.events = [...this.events, { sequence: this.sequence, digest, change, visibleAt }].slice(
--- a/packages/stand-ins/src/engine/SerialLane.ts
+++ b/packages/stand-ins/src/engine/SerialTaskQueue.ts
@@ -4,13 +4,13 @@
 }
 
 /** Runs one task at a time: lowest priority number first, FIFO within a priority. */
-export class SerialLane {
+export class SerialTaskQueue {
   private isRunning = false;
 
   private waiters: readonly Waiter[] = [];
 
   /** Gets the number of queued tasks. */
-  waiting(): number {
+  queuedCount(): number {
     return this.waiters.length;
   }
 
--- a/packages/stand-ins/src/engine/engineErrors.ts
+++ b/packages/stand-ins/src/engine/engineErrors.ts
@@ -1,7 +1,7 @@
 import type { UpstreamError } from '@camphorvane/upstream';
 
 /** Error of an upstream that refuses connections. */
-export const REFUSED: UpstreamError = {
+export const CONNECTION_REFUSED: UpstreamError = {
   type: 'unreachable',
   dispatched: false,
   message: 'connection refused',
--- a/packages/stand-ins/src/engine/engineRoutes.ts
+++ b/packages/stand-ins/src/engine/engineRoutes.ts
@@ -10,7 +10,7 @@
 import type { Context } from 'hono';
 import type { Result } from 'neverthrow';
 import type { NodeEnv } from '../http/serveApp.ts';
-import { breakConnection, clientGone } from '../http/serveApp.ts';
+import { closeConnection, disconnectSignal } from '../http/serveApp.ts';
 import type { EngineCore } from './EngineCore.ts';
 
 type Ctx = Context<NodeEnv>;
@@ -18,7 +18,7 @@
 
 /** Answers a failed command: JSON if it was rejected, otherwise closes the connection. */
 function errorResponse(c: Ctx, error: UpstreamError, status: 409 | 422 = 422): Response {
-  if (error.type !== 'rejected') return breakConnection(c);
+  if (error.type !== 'rejected') return closeConnection(c);
   return c.json({ message: error.message }, status);
 }
 
@@ -41,9 +41,9 @@
 
 async function decode(core: EngineCore, c: Ctx): Promise<Response> {
   const cmd = await c.req.json<DecodeCommand>();
-  const events = core.decode(cmd, clientGone(c))[Symbol.asyncIterator]();
+  const events = core.decode(cmd, disconnectSignal(c))[Symbol.asyncIterator]();
   const first = await events.next();
-  if (first.done) return breakConnection(c);
+  if (first.done) return closeConnection(c);
   if (first.value.isErr()) return errorResponse(c, first.value.error);
   const body = ndjsonBody(c, first.value.value, events);
   return c.body(body, 200, { 'content-type': 'application/x-ndjson' });
@@ -58,14 +58,14 @@
 export function engineRoutes(core: EngineCore): Hono<NodeEnv> {
   const app = new Hono<NodeEnv>();
   app.post('/v1/prefill', async (c) => {
-    const result = await core.prefill(await c.req.json<PrefillCommand>(), clientGone(c));
+    const result = await core.prefill(await c.req.json<PrefillCommand>(), disconnectSignal(c));
     return result.match(
       (value) => c.json(value),
       (error) => errorResponse(c, error),
     );
   });
   app.post('/v1/transfer', async (c) => {
-    const result = await core.transfer(await c.req.json<TransferCommand>(), clientGone(c));
+    const result = await core.transfer(await c.req.json<TransferCommand>(), disconnectSignal(c));
     return result.match(
       () => c.body(null, 204),
       (error) => errorResponse(c, error),
--- a/packages/stand-ins/src/engine/interruptible.ts
+++ b/packages/stand-ins/src/engine/waitOrAbort.ts
@@ -2,7 +2,7 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
 /** Result of a wait: the time elapsed, or the signal aborted first. */
-export type Waited = 'elapsed' | 'interrupted';
+export type WaitResult = 'elapsed' | 'interrupted';
 
 /**
  * Waits until a duration has elapsed or a signal aborts.
@@ -12,11 +12,11 @@
  * @param signal - Ends the wait early.
  * @returns Why the wait ended.
  */
-export function interruptible(
+export function waitOrAbort(
   clock: Clock,
   millis: Millis | undefined,
   signal: AbortSignal,
-): Promise<Waited> {
+): Promise<WaitResult> {
   return new Promise((resolve) => {
     if (signal.aborted) {
       resolve('interrupted');
@@ -40,7 +40,7 @@
  * Creates an abort controller without Node's warning about many listeners: every call in flight
  * may listen to its signal.
  */
-export function manyListeners(): AbortController {
+export function sharedAbortController(): AbortController {
   const controller = new AbortController();
   setMaxListeners(0, controller.signal);
   return controller;
--- a/packages/stand-ins/src/http/serveApp.ts
+++ b/packages/stand-ins/src/http/serveApp.ts
@@ -43,7 +43,7 @@
  * @param c - Context of the request.
  * @returns The signal.
  */
-export function clientGone(c: Context<NodeEnv>): AbortSignal {
+export function disconnectSignal(c: Context<NodeEnv>): AbortSignal {
   const disconnected = new AbortController();
   const { outgoing } = c.env;
   outgoing.once('close', () => {
@@ -58,7 +58,7 @@
  * @param c - Context of the request.
  * @returns A placeholder response that never reaches the client.
  */
-export function breakConnection(c: Context<NodeEnv>): Response {
+export function closeConnection(c: Context<NodeEnv>): Response {
   c.env.incoming.socket.destroy();
   return c.body(null);
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -4,7 +4,7 @@
 export * from './engine/EngineSettings.ts';
 export * from './engine/EventQueue.ts';
 export * from './engine/ExecutionRecord.ts';
-export * from './engine/interruptible.ts';
+export * from './engine/waitOrAbort.ts';
 export * from './engine/KvStore.ts';
 export * from './engine/PrefixCache.ts';
 export * from './engine/engineRoutes.ts';
--- a/packages/stand-ins/src/network/MemoryNetwork.ts
+++ b/packages/stand-ins/src/network/MemoryNetwork.ts
@@ -11,7 +11,7 @@
 } from '@camphorvane/peer';
 import { err, ok, ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { interruptible } from '../engine/interruptible.ts';
+import { waitOrAbort } from '../engine/waitOrAbort.ts';
 
 /** Latency and loss of the links between hosts. */
 export interface NetworkSettings {
@@ -103,7 +103,7 @@
     timeoutMs: Millis,
   ): Promise<Answer> {
     const done = new AbortController();
-    const timedOut = interruptible(clock, timeoutMs, done.signal).then((): Answer => {
+    const timedOut = waitOrAbort(clock, timeoutMs, done.signal).then((): Answer => {
       this.silent.delete(linkKey(sender.host, to.host));
       return err({ type: 'timeout', message: `${to.host} did not answer in ${timeoutMs} ms` });
     });
--- a/packages/stand-ins/src/overhead/main.ts
+++ b/packages/stand-ins/src/overhead/main.ts
@@ -4,8 +4,8 @@
 import type { Histogram } from 'hdr-histogram-js';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import { complete } from '../demo/demoCalls.ts';
-import { demoTeam, setUp } from '../demo/demoSetup.ts';
+import { sendCompletion } from '../demo/demoCalls.ts';
+import { demoTeam, setUpFleet } from '../demo/demoSetup.ts';
 import type { DemoAddresses } from '../demo/DemoFleet.ts';
 import { DemoFleet } from '../demo/DemoFleet.ts';
 
@@ -79,7 +79,7 @@
     maxTokens: OUTPUT_TOKENS,
     class: 'lookup' as const,
   };
-  const answer = await complete(clock, { host, key }, completion);
+  const answer = await sendCompletion(clock, { host, key }, completion);
   if (answer.outcome.type !== 'whole') throw new Error(JSON.stringify(answer.outcome));
   latencies.firstToken.recordValue((answer.firstMs ?? 0) * MICROS_PER_MS);
   answer.gapsMs.forEach((gap) => latencies.intervals.recordValue(gap * MICROS_PER_MS));
@@ -106,7 +106,7 @@
 try {
   const at = await fleet.start();
   const team = demoTeam('labs', TEAM_TOKENS_PER_SECOND);
-  await setUp(clock, at, [team], neverAborted);
+  await setUpFleet(clock, at, [team], neverAborted);
   const random = new RandomSource(1);
   const direct = newHistograms();
   const routed = newHistograms();
--- a/packages/stand-ins/src/platform/CallRate.ts
+++ b/packages/stand-ins/src/platform/CallRateLimiter.ts
@@ -3,7 +3,7 @@
 const SECOND_MS = 1000;
 
 /** A token bucket with a burst of one second, like the rate limit of the platform. */
-export class CallRate {
+export class CallRateLimiter {
   private tokens: number;
 
   private refilledAt: Millis;
--- a/packages/stand-ins/src/platform/MemoryObjectStore.ts
+++ b/packages/stand-ins/src/platform/MemoryObjectStore.ts
@@ -13,8 +13,8 @@
 } from '@camphorvane/store';
 import { err, ok, ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { interruptible } from '../engine/interruptible.ts';
-import { CallRate } from './CallRate.ts';
+import { waitOrAbort } from '../engine/waitOrAbort.ts';
+import { CallRateLimiter } from './CallRateLimiter.ts';
 import { NO_STORE_FAULTS } from './StoreFaults.ts';
 import type { StoreFaults } from './StoreFaults.ts';
 
@@ -50,14 +50,14 @@
 
   private hostListHistory: readonly HostListVersion[] = [];
 
-  private readonly reads: CallRate;
+  private readonly reads: CallRateLimiter;
 
-  private readonly writes: CallRate;
+  private readonly writes: CallRateLimiter;
 
   /** @param clock - Clock for all delays and timestamps. */
   constructor(private readonly clock: Clock) {
-    this.reads = new CallRate(clock, NO_STORE_FAULTS.readsPerSecond);
-    this.writes = new CallRate(clock, NO_STORE_FAULTS.writesPerSecond);
+    this.reads = new CallRateLimiter(clock, NO_STORE_FAULTS.readsPerSecond);
+    this.writes = new CallRateLimiter(clock, NO_STORE_FAULTS.writesPerSecond);
   }
 
   /** Gets the injected faults. */
@@ -218,7 +218,7 @@
       const wakeController = new AbortController();
       this.pendingWatches.add(wakeController);
       const ended = AbortSignal.any([wakeController.signal, signal]);
-      await interruptible(this.clock, deadline - this.clock.now(), ended);
+      await waitOrAbort(this.clock, deadline - this.clock.now(), ended);
       this.pendingWatches.delete(wakeController);
       if (this.faultState.down) return err(UNAVAILABLE);
       found = this.changesAfter(kind, after);
