--- a/packages/stand-ins/src/platform/storeRoutes.ts
+++ b/packages/stand-ins/src/platform/storeRoutes.ts
@@ -2,7 +2,7 @@
 import { Hono } from 'hono';
 import type { Context } from 'hono';
 import type { NodeEnv } from '../http/serveApp.ts';
-import { breakConnection, clientGone } from '../http/serveApp.ts';
+import { closeConnection, disconnectSignal } from '../http/serveApp.ts';
 import type { MemoryObjectStore } from './MemoryObjectStore.ts';
 
 type Ctx = Context<NodeEnv>;
@@ -22,7 +22,7 @@
     default:
       // A client sees a lost answer as a broken connection.
       return error.message.includes('lost')
-        ? breakConnection(c)
+        ? closeConnection(c)
         : c.json({ message: error.message }, 503);
   }
 }
@@ -81,7 +81,7 @@
   app.get('/v1/watch/:kind', async (c) => {
     const after = Number(c.req.query('after') ?? 0);
     const waitMs = Number(c.req.query('waitMs') ?? DEFAULT_WATCH_WAIT_MS);
-    const result = await store.watch(c.req.param('kind'), after, waitMs, clientGone(c));
+    const result = await store.watch(c.req.param('kind'), after, waitMs, disconnectSignal(c));
     return result.match(
       (batch) => c.json(batch),
       (error) => errorResponse(c, error),
--- a/packages/stand-ins/src/service/ServiceCore.ts
+++ b/packages/stand-ins/src/service/ServiceCore.ts
@@ -1,12 +1,17 @@
 import { sha256Hex } from '@camphorvane/core';
 import type { Clock, Millis, UpstreamId } from '@camphorvane/core';
-import type { PlainServer, UpstreamResponse, ServiceCall, UpstreamError } from '@camphorvane/upstream';
+import type {
+  PlainServer,
+  UpstreamResponse,
+  ServiceCall,
+  UpstreamError,
+} from '@camphorvane/upstream';
 import { err, ok, ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
 import type { EngineFaults } from '../engine/EngineFaults.ts';
 import { NO_ENGINE_FAULTS } from '../engine/EngineFaults.ts';
 import type { ExecutionRecord } from '../engine/ExecutionRecord.ts';
-import { interruptible, manyListeners } from '../engine/interruptible.ts';
+import { waitOrAbort, sharedAbortController } from '../engine/waitOrAbort.ts';
 
 /** Request header with the attempt ID, which the service echoes in its response. */
 export const ATTEMPT_HEADER = 'x-camphorvane-attempt';
@@ -28,14 +33,14 @@
   /** Time from a crash to the restart; undefined keeps the server down. */
   readonly restartMs: Millis | undefined;
   /** Executions of each call; more than 1 is a faulty server, to test that checks detect it. */
-  readonly runsPerCall: number;
+  readonly executionsPerCall: number;
 }
 
 /** Gets complete settings for a stand-in service. */
 export function serviceSettings(
   given: Pick<ServiceSettings, 'id'> & Partial<ServiceSettings>,
 ): ServiceSettings {
-  return { delayMs: 20, restartMs: undefined, runsPerCall: 1, ...given };
+  return { delayMs: 20, restartMs: undefined, executionsPerCall: 1, ...given };
 }
 
 /**
@@ -50,7 +55,7 @@
 
   private faultState: EngineFaults = NO_ENGINE_FAULTS;
 
-  private crashController = manyListeners();
+  private crashController = sharedAbortController();
 
   private answersToLose = 0;
 
@@ -82,14 +87,14 @@
   }
 
   /** Rejects the next `count` calls before they run. */
-  refuse(count: number): void {
+  rejectCalls(count: number): void {
     this.callsToReject += count;
   }
 
   /** Fails all calls in flight; restarts after `restartMs`, if set. */
   crash(): void {
     this.crashController.abort();
-    this.crashController = manyListeners();
+    this.crashController = sharedAbortController();
     this.setFaults({ down: true, silent: false });
     const { restartMs } = this.settings;
     if (restartMs !== undefined) this.clock.after(restartMs, () => this.setFaults({ down: false }));
@@ -119,15 +124,13 @@
     }
     const crash = this.crashController.signal;
     const halfMs = (this.settings.delayMs * this.faultState.slowFactor) / 2;
-    if ((await interruptible(this.clock, halfMs, crash)) === 'interrupted')
-      return err(this.broken());
+    if ((await waitOrAbort(this.clock, halfMs, crash)) === 'interrupted') return err(this.broken());
     const body = Buffer.from(call.body).toString('utf8');
     this.execute(call, body);
     const { poison } = this.faultState;
     if (poison !== undefined && body.includes(poison)) this.crash();
-    if ((await interruptible(this.clock, halfMs, crash)) === 'interrupted')
-      return err(this.broken());
-    if (this.faultState.silent) await interruptible(this.clock, undefined, signal);
+    if ((await waitOrAbort(this.clock, halfMs, crash)) === 'interrupted') return err(this.broken());
+    if (this.faultState.silent) await waitOrAbort(this.clock, undefined, signal);
     if (signal.aborted) return err({ type: 'cancelled', dispatched: true, message: 'caller gone' });
     if (this.answersToLose > 0) {
       this.answersToLose -= 1;
@@ -146,7 +149,7 @@
       headers: call.headers,
       computedTokens: 0,
     };
-    this.records.push(...Array.from({ length: this.settings.runsPerCall }, () => record));
+    this.records.push(...Array.from({ length: this.settings.executionsPerCall }, () => record));
   }
 
   private answer(call: ServiceCall, body: string): UpstreamResponse {
--- a/packages/stand-ins/src/service/serviceRoutes.ts
+++ b/packages/stand-ins/src/service/serviceRoutes.ts
@@ -1,6 +1,6 @@
 import { Hono } from 'hono';
 import type { NodeEnv } from '../http/serveApp.ts';
-import { breakConnection, clientGone } from '../http/serveApp.ts';
+import { closeConnection, disconnectSignal } from '../http/serveApp.ts';
 import { ATTEMPT_HEADER } from './ServiceCore.ts';
 import type { ServiceCore } from './ServiceCore.ts';
 
@@ -32,14 +32,14 @@
         class: 'certificate',
         timeoutMs: CALL_TIMEOUT_MS,
       },
-      clientGone(c),
+      disconnectSignal(c),
     );
     if (result.isOk()) {
       return new Response(Buffer.from(result.value.body), { headers: result.value.headers });
     }
     return result.error.type === 'rejected'
       ? c.json({ message: result.error.message }, 503)
-      : breakConnection(c);
+      : closeConnection(c);
   });
   return app;
 }
