--- a/packages/peer/src/hints/HintSocket.ts
+++ b/packages/peer/src/hints/HintSocket.ts
@@ -7,35 +7,35 @@
 import type { HostHint } from './HostHint.ts';
 import { decodeHint, encodeHint } from './HostHint.ts';
 
-/** Sends hints to hosts, and takes in theirs. */
+/** Sends hints and digests to other hosts and receives theirs, without acknowledgements. */
 export interface HintLink {
-  /** Sends a hint to each address (`ip:port`); nobody knows whether it arrives. */
+  /** Sends a hint to each address (`ip:port`); delivery is not confirmed. */
   send(hint: HostHint, to: readonly string[]): void;
 
-  /** Sends a digest to the host that it is made for. */
+  /** Sends a digest to the address (`ip:port`) of the host that it was built for. */
   sendDigest(digest: HostDigest, to: string): void;
 
-  /** Calls back with each hint that arrives. */
+  /** Registers a listener for each hint received. */
   onHint(listener: (hint: HostHint) => void): void;
 
-  /** Calls back with each digest that arrives. */
+  /** Registers a listener for each digest received. */
   onDigest(listener: (digest: HostDigest) => void): void;
 }
 
-/** Hints over UDP. */
+/** Sends and receives hints and digests over UDP, one datagram each. */
 export class HintSocket implements HintLink {
   private readonly socket: Socket = createSocket('udp4');
 
   private failures = 0;
 
   constructor() {
-    // A host that can't be reached, or a full link: the next hint tells the same.
+    // An unreachable host or a full link needs no retry: the next hint carries the same state.
     this.socket.on('error', () => {
       this.failures += 1;
     });
   }
 
-  /** Binds the socket; resolves to why that failed, if it did. */
+  /** Binds the socket; resolves to the error message where binding fails. */
   async listen(ip: string, port: number): Promise<Result<void, string>> {
     return new Promise((resolve) => {
       this.socket.once('error', (error) => resolve(err(error.message)));
@@ -43,7 +43,7 @@
     });
   }
 
-  /** {@inheritDoc HintLink.send} */
+  /** {@inheritDoc HintLink.sendHint} */
   send(hint: HostHint, to: readonly string[]): void {
     const bytes = encodeHint(hint);
     to.forEach((address) => this.sendBytes(bytes, address));
@@ -70,7 +70,7 @@
     });
   }
 
-  /** Gets how many sends failed, for the state dump. */
+  /** Gets the number of socket errors and failed sends, for the state dump. */
   getFailures(): number {
     return this.failures;
   }
--- a/packages/peer/src/hints/HostDigest.ts
+++ b/packages/peer/src/hints/HostDigest.ts
@@ -16,64 +16,64 @@
   writeRow,
 } from './hintRows.ts';
 
-/** First field of a digest's datagram; a hint has a host's name there and another shape. */
-const TAG = 'digest';
+/** First field of a digest's datagram; a hint has the host id there. */
+const DIGEST_TAG = 'digest';
 
-/** Place of the demand among the fields; those before it are read by name. */
-const DEMAND_FIELD = 10;
+/** Index of the demand rows among the fields; the fields before it are destructured by name. */
+const DEMAND_INDEX = 10;
 
-const START = Buffer.from(`["${TAG}",`);
+const DIGEST_PREFIX = Buffer.from(`["${DIGEST_TAG}",`);
 
 /**
- * What a relaying host tells one other host of all the rest, in place of a hint from each of them.
+ * Sums of the hints of all other hosts, sent by a relay to one receiver in place of each host's hint.
  *
- * With every host speaking to every other, hints grow with the square of the fleet. A digest holds
+ * With all-to-all gossip the number of hints grows with the square of the fleet. A digest holds
  * sums, so its size depends on engines and teams and not on hosts.
  */
 export interface HostDigest {
   /** The relaying host. */
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  /** Grows with each digest of one start. */
+  /** Increases with each digest of one incarnation. */
   readonly sequence: number;
-  /** Hosts whose hints are in the sums, the receiver left out. */
+  /** Number of hosts whose hints are in the sums, without the receiver. */
   readonly heard: number;
-  /** What these hosts have on each engine. */
+  /** Work in flight from these hosts on each engine. */
   readonly engines: readonly EngineHint[];
-  /** Tokens that these hosts have charged to each team since the relay first heard of them. */
+  /** Tokens that these hosts have charged to each team since the relay first received their hints. */
   readonly charged: readonly (readonly [TeamId, Tokens])[];
-  /** What was asked of these hosts for each pool since the relay first heard of them. */
+  /** Demand on these hosts for each pool since the relay first received their hints. */
   readonly demand: readonly DemandHint[];
-  /** Engines that any of them has ordered into another role. */
+  /** Role changes that any of these hosts has ordered. */
   readonly moves: readonly MoveHint[];
-  /** Engines that gave no answer to one of these hosts. */
+  /** Engines that one of these hosts found unresponsive. */
   readonly down: readonly UpstreamId[];
-  /** Calls that these hosts have on each plain service, or waiting for it. */
+  /** Calls of these hosts in flight or queued for each plain service. */
   readonly calls: readonly (readonly [ServiceId, number])[];
-  /** Hosts with a record in the store that the relay has not heard lately. */
+  /** Hosts with a record in the store whose hints to the relay have timed out. */
   readonly silent: readonly HostId[];
   readonly leaving: readonly HostId[];
-  /** Hosts that take callers. */
+  /** Hosts that accept callers. */
   readonly serving: readonly HostId[];
-  /** Newest versions of the store's changes that any of them knows. */
+  /** Newest store versions that any of these hosts has read. */
   readonly versions: { readonly config: number; readonly servers: number };
-  /** Drained zones as the host says that has read them last. */
+  /** Drained zones at the newest store version that any of these hosts has read. */
   readonly drained: DrainedZones;
 }
 
 /**
- * Writes a digest as JSON, fields by place.
+ * Encodes a digest as a JSON array of positional fields.
  *
  * @param digest - The digest.
  * @returns The datagram.
  */
 export function encodeDigest(digest: HostDigest): Buffer {
   const { host, incarnation, sequence, heard, engines, charged, silent, leaving } = digest;
-  const known = [digest.versions.config, digest.versions.servers];
+  const versions = [digest.versions.config, digest.versions.servers];
   const rows = engines.map(writeRow);
   return Buffer.from(
     JSON.stringify([
-      TAG,
+      DIGEST_TAG,
       host,
       incarnation,
       sequence,
@@ -82,7 +82,7 @@
       charged,
       silent,
       leaving,
-      known,
+      versions,
       digest.demand.map(writeDemand),
       digest.moves.map(writeMove),
       digest.down,
@@ -94,33 +94,34 @@
 }
 
 /**
- * Reads a datagram.
+ * Decodes a datagram.
  *
- * @param bytes - What arrived.
- * @returns The digest; undefined for anything that is none.
+ * @param bytes - The datagram.
+ * @returns The digest; undefined where the datagram is not a well-formed digest.
  */
 export function decodeDigest(bytes: Uint8Array): HostDigest | undefined {
   const fields = parseDatagram(bytes);
-  if (fields?.[0] !== TAG) return undefined;
-  const [, host, incarnation, sequence, heard, rows, charged, silent, leaving, known] = fields;
-  const [demand, moves, down, calls, serving, drainedRow] = fields.slice(DEMAND_FIELD);
+  if (fields?.[0] !== DIGEST_TAG) return undefined;
+  const [, host, incarnation, sequence, heard, rows, charged, silent, leaving, versions] = fields;
+  const [demandRows, moveRows, down, calls, serving, drainedRow] = fields.slice(DEMAND_INDEX);
   if (typeof host !== 'string' || typeof incarnation !== 'string') return undefined;
   if (!isCount(sequence) || !isCount(heard) || !Array.isArray(rows)) return undefined;
   if (!Array.isArray(charged) || !charged.every(isCharge)) return undefined;
   if (!Array.isArray(calls) || !calls.every(isCharge)) return undefined;
   if (!isNames(silent) || !isNames(leaving) || !isNames(serving)) return undefined;
   if (!isNames(down)) return undefined;
-  const [config, servers] = Array.isArray(known) ? (known as readonly unknown[]) : [];
+  const [config, servers] = Array.isArray(versions) ? (versions as readonly unknown[]) : [];
   if (!isCount(config) || !isCount(servers)) return undefined;
   const drained = readDrained(drainedRow);
   if (drained === undefined) return undefined;
   const engines = readRows(rows, readRow);
-  const asked = readRows(demand, readDemand);
-  const moving = readRows(moves, readMove);
-  if (engines === undefined || asked === undefined || moving === undefined) return undefined;
+  const demandHints = readRows(demandRows, readDemand);
+  const moveHints = readRows(moveRows, readMove);
+  if (engines === undefined || demandHints === undefined || moveHints === undefined)
+    return undefined;
   return {
     ...{ host, incarnation, sequence, heard, engines, silent, leaving, serving },
-    ...{ demand: asked, moves: moving, down },
+    ...{ demand: demandHints, moves: moveHints, down },
     calls: calls as readonly (readonly [ServiceId, number])[],
     charged: charged as readonly (readonly [TeamId, Tokens])[],
     versions: { config, servers },
@@ -128,7 +129,7 @@
   };
 }
 
-/** Tells by its first bytes whether a datagram is a digest, without reading it. */
+/** Tells whether a datagram is a digest by its first bytes, without parsing it. */
 export function isDigest(bytes: Uint8Array): boolean {
-  return START.equals(bytes.subarray(0, START.length));
+  return DIGEST_PREFIX.equals(bytes.subarray(0, DIGEST_PREFIX.length));
 }
--- a/packages/peer/src/hints/HostHint.ts
+++ b/packages/peer/src/hints/HostHint.ts
@@ -24,49 +24,49 @@
 } from './hintRows.ts';
 import type { DemandHint, DrainedZones, EngineHint, MoveHint } from './hintParts.ts';
 
-/** Place of the engines that are down among the fields; those before it are read by name. */
-const DOWN_FIELD = 9;
+/** Index of the unresponsive engines among the fields; earlier fields are destructured by name. */
+const DOWN_INDEX = 9;
 
-/** How often a host wants digests; each place is the number that stands for it in a datagram. */
-const DIGEST_WISHES = ['none', 'seldom', 'often'] as const;
+/** Values of {@link DigestFrequency}; a datagram carries the index. */
+const DIGEST_FREQUENCIES = ['none', 'seldom', 'often'] as const;
 
-/** How often a host wants digests. */
-export type DigestWish = (typeof DIGEST_WISHES)[number];
+/** How often a host asks a relay for digests. */
+export type DigestWish = (typeof DIGEST_FREQUENCIES)[number];
 
 /**
- * What a host tells all others several times a second.
+ * The state that a host gossips to its peers several times a second.
  *
- * A hint that is lost or late does no harm: the next one replaces it, and who hears nothing counts
- * the host as gone after a while. So it travels as one datagram, without an answer.
+ * A hint is one unacknowledged datagram: a lost or late hint is replaced by the next one, and a host
+ * whose hints stop is counted as gone after its TTL.
  */
 export interface HostHint {
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  /** Grows with each hint of one start; an older one that arrives later is dropped. */
+  /** Increases with each hint of one incarnation; hints that arrive out of order are dropped. */
   readonly sequence: number;
   readonly leaving: boolean;
-  /** How often the host wants digests from the receiver. */
+  /** How often the host asks the receiver for digests. */
   readonly digests: DigestWish;
-  /** Whether the host takes callers; one that does not stands by. */
+  /** Whether the host accepts callers; otherwise it is on standby. */
   readonly serving: boolean;
-  /** Milliseconds within which the host's next hint is to come. */
+  /** Milliseconds within which the host sends its next hint. */
   readonly nextMs: Millis;
   readonly engines: readonly EngineHint[];
   /** Tokens charged to each team since the host started. */
   readonly charged: readonly (readonly [TeamId, Tokens])[];
   readonly demand: readonly DemandHint[];
   readonly moves: readonly MoveHint[];
-  /** Engines that gave no answer to the host. */
+  /** Engines that the host found unresponsive. */
   readonly down: readonly UpstreamId[];
-  /** Calls that the host has on each plain service, or waiting for it. */
+  /** Calls of the host in flight or queued for each plain service. */
   readonly calls: readonly (readonly [ServiceId, number])[];
-  /** Versions of the store's changes up to which the host knows configuration and servers. */
+  /** Store versions up to which the host has read the configuration and the servers. */
   readonly versions: { readonly config: number; readonly servers: number };
   readonly drained: DrainedZones;
 }
 
 /**
- * Writes a hint in as few bytes as JSON takes: fields by place, engines as rows.
+ * Encodes a hint as a JSON array of positional fields, to keep the datagram small.
  *
  * @param hint - The hint.
  * @returns The datagram.
@@ -74,10 +74,10 @@
 export function encodeHint(hint: HostHint): Buffer {
   const rows = hint.engines.map(writeRow);
   const { host, incarnation, sequence, leaving, charged, versions } = hint;
-  const known = [versions.config, versions.servers];
+  const versionRow = [versions.config, versions.servers];
   const demand = hint.demand.map(writeDemand);
   const moves = hint.moves.map(writeMove);
-  const flags = [Number(leaving), DIGEST_WISHES.indexOf(hint.digests), Number(hint.serving)];
+  const flags = [Number(leaving), DIGEST_FREQUENCIES.indexOf(hint.digests), Number(hint.serving)];
   const fields = [
     host,
     incarnation,
@@ -85,7 +85,7 @@
     flags,
     rows,
     charged,
-    known,
+    versionRow,
     demand,
     moves,
     hint.down,
@@ -97,42 +97,46 @@
 }
 
 /**
- * Reads a datagram.
+ * Decodes a datagram.
  *
- * @param bytes - What arrived.
- * @returns The hint; undefined for anything that is none.
+ * @param bytes - The datagram.
+ * @returns The hint; undefined where the datagram is not a well-formed hint.
  */
 export function decodeHint(bytes: Uint8Array): HostHint | undefined {
   const fields = parseDatagram(bytes);
   if (fields === undefined) return undefined;
-  const [host, incarnation, sequence, flags, rows, charged, known, demand, moves] = fields;
-  const [down, calls, nextMs, drainedRow] = fields.slice(DOWN_FIELD);
+  const [host, incarnation, sequence, flags, rows, charged, versions, demandRows, moveRows] =
+    fields;
+  const [down, calls, nextMs, drainedRow] = fields.slice(DOWN_INDEX);
   if (typeof host !== 'string' || typeof incarnation !== 'string') return undefined;
   if (typeof sequence !== 'number' || !Array.isArray(rows)) return undefined;
   if (!Array.isArray(charged) || !charged.every(isCharge)) return undefined;
-  const [config, servers] = Array.isArray(known) ? (known as readonly unknown[]) : [];
+  const [config, servers] = Array.isArray(versions) ? (versions as readonly unknown[]) : [];
   if (!isCount(config) || !isCount(servers)) return undefined;
   if (!isCount(nextMs)) return undefined;
   if (!isNames(down) || !Array.isArray(calls) || !calls.every(isCharge)) return undefined;
   const engines = readRows(rows, readRow);
-  const asked = readRows(demand, readDemand);
-  const moving = readRows(moves, readMove);
-  if (engines === undefined || asked === undefined || moving === undefined) return undefined;
+  const demandHints = readRows(demandRows, readDemand);
+  const moveHints = readRows(moveRows, readMove);
+  if (engines === undefined || demandHints === undefined || moveHints === undefined)
+    return undefined;
   const drained = readDrained(drainedRow);
   if (drained === undefined) return undefined;
-  const [leaving, wish, serving] = Array.isArray(flags) ? (flags as readonly unknown[]) : [];
+  const [leaving, digestFrequency, serving] = Array.isArray(flags)
+    ? (flags as readonly unknown[])
+    : [];
   return {
     host,
     incarnation,
     sequence,
     leaving: leaving === 1,
-    digests: DIGEST_WISHES[Number(wish)] ?? 'none',
+    digests: DIGEST_FREQUENCIES[Number(digestFrequency)] ?? 'none',
     serving: serving === 1,
     nextMs,
     engines,
     charged: charged as readonly (readonly [TeamId, Tokens])[],
-    demand: asked,
-    moves: moving,
+    demand: demandHints,
+    moves: moveHints,
     down,
     calls: calls as readonly (readonly [ServiceId, number])[],
     versions: { config, servers },
--- a/packages/peer/src/hints/hintParts.ts
+++ b/packages/peer/src/hints/hintParts.ts
@@ -1,6 +1,6 @@
 import type { EngineRole, Millis, ModelId, Tokens, UpstreamId, ZoneId } from '@camphorvane/core';
 
-/** What a host has on one engine, as it tells its peers. */
+/** Work that a host has in flight on one engine, as sent to its peers. */
 export interface EngineHint {
   readonly engine: UpstreamId;
   readonly prefillTokens: Tokens;
@@ -8,30 +8,30 @@
   readonly memoryTokens: Tokens;
 }
 
-/** What was asked of a host for one pool since its start, as it tells its peers. */
+/** Demand on a host for one pool since its start, as sent to its peers. */
 export interface DemandHint {
   readonly model: ModelId;
   readonly requests: number;
   readonly promptTokens: Tokens;
-  /** Memory that the requests hold on average. */
+  /** Average memory footprint of the requests. */
   readonly memoryTokens: Tokens;
-  /** That memory times the output tokens of its request. */
+  /** Memory footprint multiplied by the output tokens of the request. */
   readonly memorySteps: number;
-  /** Requests that wait on the host now and can still be on time. */
+  /** Requests queued on the host that can still meet their latency target. */
   readonly onTimeWaiting: number;
 }
 
-/** Availability zones whose servers get no work. */
+/** Availability zones whose servers are drained and get no new work. */
 export interface DrainedZones {
-  /** Version of the store at which they were read; 0 where they were not. */
+  /** Store version at which the zones were read; 0 where they have not been read. */
   readonly version: number;
   readonly zones: readonly ZoneId[];
 }
 
-/** An engine that the host has ordered into another role. */
+/** A role change that the host has ordered for an engine. */
 export interface MoveHint {
   readonly engine: UpstreamId;
   readonly role: EngineRole;
-  /** Milliseconds until peers may use it again in any case; 0 where the order was taken back. */
+  /** Milliseconds until peers may use the engine again regardless; 0 where the order was revoked. */
   readonly leftMs: Millis;
 }
--- a/packages/peer/src/hints/hintRows.ts
+++ b/packages/peer/src/hints/hintRows.ts
@@ -3,12 +3,12 @@
 
 type EngineRow = readonly [UpstreamId, number, number, number];
 
-/** Gets an engine's use as a row; a quarter of the bytes of named fields. */
+/** Encodes an engine's work as a row, which takes a quarter of the bytes of named fields. */
 export function writeRow(one: EngineHint): EngineRow {
   return [one.engine, one.prefillTokens, one.streams, Math.round(one.memoryTokens)];
 }
 
-/** Reads a row; undefined for anything that is none. */
+/** Decodes a row of {@link encodeEngineHint}; undefined where it is malformed. */
 export function readRow(row: unknown): EngineHint | undefined {
   if (!Array.isArray(row)) return undefined;
   const [engine, prefillTokens, streams, memoryTokens] = row as readonly unknown[];
@@ -22,23 +22,23 @@
   };
 }
 
-/** Numbers of a row about demand. */
-const DEMAND_COUNTS = 5;
+/** Count of the numbers after the model in a demand row. */
+const DEMAND_NUMBER_COUNT = 5;
 
 type DemandRow = readonly [string, number, number, number, number, number];
 
-/** Gets the demand on one pool as a row. */
+/** Encodes the demand on one pool as a row. */
 export function writeDemand(one: DemandHint): DemandRow {
   const { model, requests, promptTokens, onTimeWaiting } = one;
   const memory = [Math.round(one.memoryTokens), Math.round(one.memorySteps)] as const;
   return [model, requests, promptTokens, ...memory, onTimeWaiting];
 }
 
-/** Reads a row of {@link writeDemand}; undefined for anything that is none. */
+/** Decodes a row of {@link encodeDemandHint}; undefined where it is malformed. */
 export function readDemand(row: unknown): DemandHint | undefined {
   if (!Array.isArray(row)) return undefined;
   const [model, ...counts] = row as readonly unknown[];
-  if (typeof model !== 'string' || counts.length !== DEMAND_COUNTS) return undefined;
+  if (typeof model !== 'string' || counts.length !== DEMAND_NUMBER_COUNT) return undefined;
   if (!counts.every(isCount)) return undefined;
   const [requests, promptTokens, memoryTokens, memorySteps, onTimeWaiting] = counts;
   return {
@@ -51,12 +51,12 @@
   };
 }
 
-/** Gets an engine that changes its role as a row. */
+/** Encodes a role change as a row. */
 export function writeMove({ engine, role, leftMs }: MoveHint): readonly [string, string, number] {
   return [engine, role, Math.round(leftMs)];
 }
 
-/** Reads a row of {@link writeMove}; undefined for anything that is none. */
+/** Decodes a row of {@link encodeRoleChangeHint}; undefined where it is malformed. */
 export function readMove(row: unknown): MoveHint | undefined {
   if (!Array.isArray(row)) return undefined;
   const [engine, role, leftMs] = row as readonly unknown[];
@@ -64,14 +64,14 @@
   return role === 'prefill' || role === 'decode' ? { engine, role, leftMs } : undefined;
 }
 
-/** Gets the drained zones as a row. */
+/** Encodes the drained zones as a row. */
 export function writeDrained({ version, zones }: DrainedZones): readonly (number | string)[] {
   return [version, ...zones];
 }
 
 /**
- * Reads a row of {@link writeDrained}; undefined for anything that is none. Hosts of an earlier version,
- * which may run during an update, send no such row.
+ * Decodes a row of {@link encodeDrainedZones}; undefined where it is malformed. A missing row is
+ * valid: hosts of an earlier version, which may run during a rolling update, don't send it.
  */
 export function readDrained(row: unknown): DrainedZones | undefined {
   if (row === undefined) return { version: 0, zones: [] };
@@ -80,35 +80,35 @@
   return isCount(version) && isNames(zones) ? { version, zones } : undefined;
 }
 
-/** Reads all rows of a list; undefined where it is no list, or one of its rows is none. */
+/** Decodes a list of rows; undefined where the value is not a list or any row is malformed. */
 export function readRows<T>(
   rows: unknown,
   read: (row: unknown) => T | undefined,
 ): readonly T[] | undefined {
   if (!Array.isArray(rows)) return undefined;
-  const all = rows.map(read);
-  const good = all.filter((one) => one !== undefined);
-  return good.length === all.length ? good : undefined;
+  const decoded = rows.map(read);
+  const valid = decoded.filter((one) => one !== undefined);
+  return valid.length === decoded.length ? valid : undefined;
 }
 
-/** Tells whether a value is a team with the tokens charged to it. */
+/** Tells whether a value is a pair of a name and a number: a team's tokens, or a service's calls. */
 export function isCharge(row: unknown): boolean {
   if (!Array.isArray(row)) return false;
-  const [team, tokens] = row as readonly unknown[];
-  return typeof team === 'string' && typeof tokens === 'number' && Number.isFinite(tokens);
+  const [name, amount] = row as readonly unknown[];
+  return typeof name === 'string' && typeof amount === 'number' && Number.isFinite(amount);
 }
 
-/** Tells whether a value is a number from 0 on. */
+/** Tells whether a value is a finite number of at least 0. */
 export function isCount(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0;
 }
 
-/** Tells whether a value is a list of names. */
+/** Tells whether a value is a list of strings. */
 export function isNames(value: unknown): value is readonly string[] {
   return Array.isArray(value) && value.every((name) => typeof name === 'string');
 }
 
-/** Gets the fields of a datagram; bytes that are no JSON list are no hint. */
+/** Parses the fields of a datagram; undefined where the bytes are not a JSON array. */
 export function parseDatagram(bytes: Uint8Array): readonly unknown[] | undefined {
   try {
     const parsed = JSON.parse(Buffer.from(bytes).toString('utf8')) as unknown;
--- a/packages/peer/tests/hints/HostDigest.test.ts
+++ b/packages/peer/tests/hints/HostDigest.test.ts
@@ -27,22 +27,22 @@
   drained: { version: 11, zones: ['a', 'c'] },
 };
 
-test('a digest is read as it was written, and not taken for a hint', () => {
+test('a digest survives encoding and decoding and is not decoded as a hint', () => {
   const bytes = encodeDigest(DIGEST);
   assert.equal(isDigest(bytes), true);
   assert.deepEqual(decodeDigest(bytes), DIGEST);
   assert.equal(decodeHint(bytes), undefined);
 });
 
-// Anything may arrive at an open port. What is no digest must neither end the process nor be taken
-// for one.
-test('whatever else arrives is no digest', () => {
+// Any bytes may arrive at an open port. Malformed datagrams must neither crash the process nor be
+// decoded as a digest.
+test('malformed datagrams are not decoded as a digest', () => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => decodeDigest(bytes) === undefined),
   );
-  const sound = JSON.parse(encodeDigest(DIGEST).toString()) as unknown[];
-  const spoilt = sound.map((_, place) => sound.map((field, i) => (i === place ? { x: 1 } : field)));
-  spoilt.forEach((one, place) =>
-    assert.equal(decodeDigest(Buffer.from(JSON.stringify(one))), undefined, `field ${place}`),
+  const valid = JSON.parse(encodeDigest(DIGEST).toString()) as unknown[];
+  const malformed = valid.map((_, at) => valid.map((field, i) => (i === at ? { x: 1 } : field)));
+  malformed.forEach((fields, at) =>
+    assert.equal(decodeDigest(Buffer.from(JSON.stringify(fields))), undefined, `field ${at}`),
   );
 });
--- a/packages/peer/tests/hints/HostHint.test.ts
+++ b/packages/peer/tests/hints/HostHint.test.ts
@@ -27,13 +27,13 @@
   drained: { version: 11, zones: ['a', 'c'] },
 };
 
-test('a hint is read as it was written', () => {
+test('a hint survives encoding and decoding', () => {
   assert.deepEqual(decodeHint(encodeHint(HINT)), HINT);
 });
 
-// Anything may arrive at an open port. What is no hint must neither end the process nor be taken for
-// one.
-test('whatever else arrives is no hint', () => {
+// Any bytes may arrive at an open port. Malformed datagrams must neither crash the process nor be
+// decoded as a hint.
+test('malformed datagrams are not decoded as a hint', () => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => decodeHint(bytes) === undefined),
   );
@@ -43,7 +43,7 @@
       return hint === undefined || typeof hint.host === 'string';
     }),
   );
-  const spoilt = [
+  const malformed = [
     ['h', 'i', 3, [1, 0], [['e', -1, 0, 0]], [], [1, 1], [], [], [], [], 300],
     ['h', 'i', 3, [1, 0], [], [['t', 'x']], [1, 1], [], [], [], [], 300],
     ['h', 'i', 'x', [1, 0], [], [], [1, 1], [], [], [], [], 300],
@@ -61,7 +61,9 @@
     ['h', 'i', 3, [1, 0], [], [], [1, 1], [], [], [], [], 300, [4, 7]],
     ['h', 'i', 3, [1, 0], [], [], [1, 1], [], [], [], [], 300, 'x'],
   ];
-  const sound = ['h', 'i', 3, [1, 0], [], [], [1, 1], [], [], [], [], 300];
-  assert.ok(decodeHint(Buffer.from(JSON.stringify(sound))) !== undefined);
-  spoilt.forEach((one) => assert.equal(decodeHint(Buffer.from(JSON.stringify(one))), undefined));
+  const valid = ['h', 'i', 3, [1, 0], [], [], [1, 1], [], [], [], [], 300];
+  assert.ok(decodeHint(Buffer.from(JSON.stringify(valid))) !== undefined);
+  malformed.forEach((fields) =>
+    assert.equal(decodeHint(Buffer.from(JSON.stringify(fields))), undefined),
+  );
 });
