--- a/packages/peer/src/shares/ChargeQueue.ts
+++ b/packages/peer/src/shares/ChargeQueue.ts
@@ -12,13 +12,13 @@
 import { NO_SHARE_RETRY_MS, noShare, overRate } from './RateMessages.ts';
 import { LONGEST_WAIT_MS, type WaitingCharge, WaitingCharges } from './WaitingCharges.ts';
 
-/** Time for which a team that lacked tokens everywhere is refused without asking again. */
-const EXHAUSTED_MS: Millis = 50;
+/** Time for which a team that lacked tokens on all members is refused without asking them again. */
+const EXHAUSTED_TTL_MS: Millis = 50;
 
-/** Pause before a steward is asked again for tokens that other holders are to give back. */
-const ASK_AGAIN_MS: Millis = 10;
+/** Pause before the next sync with a coordinator, which waits for other holders to return tokens. */
+const SYNC_RETRY_MS: Millis = 10;
 
-/** What was found a moment ago not to be there. */
+/** A recent finding that a team lacked tokens on all members. */
 interface Exhaustion {
   readonly until: Millis;
   readonly lack: Tokens;
@@ -30,13 +30,13 @@
   readonly holder: ShareHolder;
   readonly signal: AbortSignal;
   readonly rateOf: (team: TeamId) => TeamRate | undefined;
-  /** Reports a team to its steward, and resolves once the answer was taken or is lost. */
+  /** Syncs a team with its coordinator; resolves once the reply was applied or the sync failed. */
   readonly syncTeam: (team: TeamId) => Promise<void>;
-  /** Borrows tokens from other members, and resolves to how many it got. */
+  /** Borrows tokens from other members; resolves to the number of tokens lent. */
   readonly borrow: (team: TeamId, tokens: Tokens) => Promise<Tokens>;
 }
 
-/** The requests that lack tokens on this host and wait for those of other hosts. */
+/** The requests that lack tokens on this host and wait for tokens of other hosts. */
 export class ChargeQueue {
   private readonly options: ChargeQueueOptions;
 
@@ -48,39 +48,39 @@
     this.options = options;
   }
 
-  /** Tells whether a team was found a moment ago to lack that many tokens everywhere. */
+  /** Tells whether a team was recently found to lack this many tokens on all members. */
   isExhausted(team: TeamId, lack: Tokens): boolean {
     const known = this.exhausted.get(team);
     return known !== undefined && this.now() < known.until && lack >= known.lack;
   }
 
-  /** Gets how many requests of a team wait. */
+  /** Gets the number of waiting requests of a team. */
   countOf(team: TeamId): number {
     return this.waiting.get(team)?.count ?? 0;
   }
 
   /**
-   * Waits until tokens were charged, for at most {@link LONGEST_WAIT_MS}.
+   * Waits until tokens are charged, for at most {@link MAX_CHARGE_WAIT_MS}.
    *
    * @param team - The team.
-   * @param tokens - What is to be charged.
+   * @param tokens - Tokens to charge.
    * @param rate - The rate of the team, for the refusal.
-   * @returns Nothing once they were charged, or the refusal.
+   * @returns Nothing once the tokens are charged, or the refusal.
    */
   wait(team: TeamId, tokens: Tokens, rate: TeamRate): Promise<Result<void, Refusal>> {
     const waiting = this.waiting.get(team) ?? new WaitingCharges();
     this.waiting.set(team, waiting);
-    const waited = waiting.wait(
+    const result = waiting.wait(
       tokens,
       (run) => this.options.clock.after(LONGEST_WAIT_MS, run),
-      () => this.refusalAfterWait(team, tokens, rate),
+      () => this.timeoutRefusal(team, tokens, rate),
     );
-    void this.fetch(team, waiting);
-    void this.borrowAll(team, waiting);
-    return waited;
+    void this.syncWhileWaiting(team, waiting);
+    void this.borrowWhileWaiting(team, waiting);
+    return result;
   }
 
-  /** Charges for those of a team that have enough now, first come first. */
+  /** Charges the waiting requests of a team for which there are enough tokens, in arrival order. */
   serve(team: TeamId): void {
     const waiting = this.waiting.get(team);
     if (waiting === undefined) return;
@@ -90,14 +90,14 @@
   }
 
   private noteExhausted(team: TeamId, lack: Tokens): void {
-    this.exhausted.set(team, { until: this.now() + EXHAUSTED_MS, lack });
+    this.exhausted.set(team, { until: this.now() + EXHAUSTED_TTL_MS, lack });
   }
 
   private now(): Millis {
     return this.options.clock.now();
   }
 
-  private levelOf(team: TeamId): number {
+  private balanceOf(team: TeamId): number {
     return this.options.holder.current(team, this.now())?.bucket.level ?? 0;
   }
 
@@ -105,35 +105,35 @@
     return (this.options.holder.current(team, this.now())?.share ?? 0) > 0;
   }
 
-  private refusalAfterWait(team: TeamId, tokens: Tokens, rate: TeamRate): Refusal {
+  private timeoutRefusal(team: TeamId, tokens: Tokens, rate: TeamRate): Refusal {
     const held = this.options.holder.current(team, this.now());
     if (held === undefined || held.share === 0) return noShare(NO_SHARE_RETRY_MS);
     return overRate(tokens - held.bucket.level, rate);
   }
 
   /**
-   * Borrows from other members for one request after the other.
+   * Borrows from other members for the waiting requests, one at a time.
    *
-   * Made for large requests, skewed callers and the seconds after a steward's death, in which shares
-   * can't move: a request that is larger than what lies here would be refused although the team has
-   * the tokens. Tokens lent count as spent at the lender, so the cap holds whoever is steward and
-   * whatever is lost on the way.
+   * Without borrowing, a request larger than this host's balance would be refused although the team
+   * has the tokens: large requests, skewed callers, and the seconds after a coordinator's crash, in
+   * which shares can't move. Tokens lent count as spent at the lender, so the cap holds whoever is
+   * the coordinator and whichever messages are lost.
    */
-  private async borrowAll(team: TeamId, waiting: WaitingCharges): Promise<void> {
+  private async borrowWhileWaiting(team: TeamId, waiting: WaitingCharges): Promise<void> {
     if (waiting.isBorrowing) return;
     waiting.setBorrowing(true);
     while (waiting.first !== undefined && (await this.borrowFor(team, waiting, waiting.first)));
     waiting.setBorrowing(false);
   }
 
-  /** Borrows for one request; false where the others had too little. */
+  /** Borrows for one request; false where the request was neither charged nor refused. */
   private async borrowFor(
     team: TeamId,
     waiting: WaitingCharges,
     charge: WaitingCharge,
   ): Promise<boolean> {
     const { holder, borrow, rateOf } = this.options;
-    const lack = Math.ceil(charge.tokens - this.levelOf(team));
+    const lack = Math.ceil(charge.tokens - this.balanceOf(team));
     const borrowed = lack <= 0 ? 0 : await borrow(team, lack);
     const isWaiting = waiting.has(charge);
     const needed = isWaiting ? charge.tokens : 0;
@@ -143,22 +143,22 @@
     }
     holder.chargeWith(team, 0, borrowed, this.now());
     const rate = rateOf(team);
-    // Without any share here the steward is still to be heard; the wait has an end of its own.
+    // A host without a share has yet to get the coordinator's reply; the wait has its own timeout.
     if (rate === undefined || lack <= 0 || !this.hasShare(team)) return false;
     this.noteExhausted(team, lack);
     waiting.turnAway(charge, overRate(lack - borrowed, rate));
     return true;
   }
 
-  /** Asks the steward again and again while somebody waits; each wait has an end of its own. */
-  private async fetch(team: TeamId, waiting: WaitingCharges): Promise<void> {
+  /** Syncs with the coordinator repeatedly while requests wait; each wait has its own timeout. */
+  private async syncWhileWaiting(team: TeamId, waiting: WaitingCharges): Promise<void> {
     if (waiting.isFetching) return;
     waiting.startFetching();
     const { clock, holder, signal, syncTeam } = this.options;
     while (waiting.count > 0 && !signal.aborted) {
       holder.touch(team, this.now());
       await syncTeam(team);
-      if (waiting.count > 0) await sleep(clock, ASK_AGAIN_MS, signal);
+      if (waiting.count > 0) await sleep(clock, SYNC_RETRY_MS, signal);
     }
     if (this.waiting.get(team) === waiting) this.waiting.delete(team);
   }
--- a/packages/peer/src/shares/GroupAuthority.ts
+++ b/packages/peer/src/shares/GroupAuthority.ts
@@ -9,35 +9,35 @@
 } from '@camphorvane/group';
 import type { ShareAuthority, ShareMember } from './ShareAuthority.ts';
 
-/** The part of a running membership that rates rest on. */
+/** The part of the group membership that team rates depend on. */
 export interface GroupSource {
-  /** Gets the newest record known. */
+  /** Gets the newest group record known to this host. */
   record(): GroupRecord | undefined;
   mayAct(): boolean;
   maySteward(key: string): boolean;
 }
 
-/** Names a team among all that has a steward. */
+/** Gets the key under which a team's coordinator is chosen. */
 export function teamKey(team: TeamId): string {
   return `team:${team}`;
 }
 
-/** Gives rates what they need of the group's membership. */
+/** Derives the authority of this host over team rates from the group's membership. */
 export class GroupAuthority implements ShareAuthority {
   private readonly source: GroupSource;
 
   private readonly selfKey: string;
 
-  private stewards = new Map<TeamId, string | undefined>();
+  private coordinatorKeys = new Map<TeamId, string | undefined>();
 
-  private known: GroupRecord | undefined;
+  private lastRecord: GroupRecord | undefined;
 
-  /** All incarnations that ever were in the group; undefined where some may be unknown. */
-  private everMembers: ReadonlySet<string> | undefined;
+  /** All incarnations that have been members of the group; undefined where some may be unknown. */
+  private memberHistory: ReadonlySet<string> | undefined;
 
   /**
-   * @param source - The running membership.
-   * @param selfKey - Key of this start of this host.
+   * @param source - The membership of this host's group.
+   * @param selfKey - Member key of this incarnation of this host.
    */
   constructor(source: GroupSource, selfKey: string) {
     this.source = source;
@@ -62,11 +62,11 @@
   stewardOf(team: TeamId): string | undefined {
     const record = this.record();
     if (record === undefined) return undefined;
-    if (!this.stewards.has(team)) {
-      const steward = stewardAmong(teamKey(team), record.members);
-      this.stewards.set(team, steward && memberKey(steward));
+    if (!this.coordinatorKeys.has(team)) {
+      const coordinator = stewardAmong(teamKey(team), record.members);
+      this.coordinatorKeys.set(team, coordinator && memberKey(coordinator));
     }
-    return this.stewards.get(team);
+    return this.coordinatorKeys.get(team);
   }
 
   mayAct(): boolean {
@@ -78,7 +78,7 @@
     if (record === undefined) return false;
     const isNamed = (members: readonly RecordMember[]): boolean =>
       members.some((member) => memberKey(member) === this.selfKey);
-    return this.coveredSince(record, since, isNamed) && isNamed(record.members);
+    return this.everyEpochSince(record, since, isNamed) && isNamed(record.members);
   }
 
   context(): StewardContext {
@@ -92,21 +92,24 @@
       isWholeHistory: this.isWholeHistory(members),
       isFirstEpoch: record?.epoch === 1,
       maySteward: (team) => this.source.maySteward(teamKey(team)),
-      stewardThroughout: (team, since) => this.stewardThroughout(team, since),
+      stewardThroughout: (team, since) => this.coordinatedThroughout(team, since),
     };
   }
 
-  private stewardThroughout(team: TeamId, since: number): boolean {
+  private coordinatedThroughout(team: TeamId, since: number): boolean {
     const record = this.record();
     if (record === undefined || this.stewardOf(team) !== this.selfKey) return false;
-    return this.coveredSince(record, since, (members) => {
-      const steward = stewardAmong(teamKey(team), members);
-      return steward !== undefined && memberKey(steward) === this.selfKey;
+    return this.everyEpochSince(record, since, (members) => {
+      const coordinator = stewardAmong(teamKey(team), members);
+      return coordinator !== undefined && memberKey(coordinator) === this.selfKey;
     });
   }
 
-  /** Checks all epochs between one and the newest; false where the record no longer names one. */
-  private coveredSince(
+  /**
+   * Checks all epochs between `since` and the newest; false where the record no longer lists one of
+   * them.
+   */
+  private everyEpochSince(
     record: GroupRecord,
     since: number,
     check: (members: PastEpoch['members']) => boolean,
@@ -117,8 +120,8 @@
   }
 
   /**
-   * Gets everybody who may still use a grant of an earlier steward. A host of an epoch that nobody
-   * can act under any more uses none, since it checks its permission before each admission.
+   * Gets the members that may still use a grant of an earlier coordinator. A host of an epoch under
+   * which no host may act any more uses none, since it checks its permission before each admission.
    */
   private mayHold(record: GroupRecord): readonly string[] {
     const past = record.lineage
@@ -128,27 +131,27 @@
   }
 
   private isWholeHistory(members: readonly RecordMember[]): boolean {
-    if (this.everMembers === undefined) return false;
+    if (this.memberHistory === undefined) return false;
     const present = new Set(members.map(memberKey));
-    return [...this.everMembers].every((key) => present.has(key));
+    return [...this.memberHistory].every((key) => present.has(key));
   }
 
   private record(): GroupRecord | undefined {
     const record = this.source.record();
-    if (record === undefined || record.epoch === this.known?.epoch) return record;
-    this.stewards = new Map();
-    this.everMembers = this.historyWith(record);
-    this.known = record;
+    if (record === undefined || record.epoch === this.lastRecord?.epoch) return record;
+    this.coordinatorKeys = new Map();
+    this.memberHistory = this.extendHistory(record);
+    this.lastRecord = record;
     return record;
   }
 
-  /** Follows who ever was a member, as long as no epoch is missed. */
-  private historyWith(record: GroupRecord): ReadonlySet<string> | undefined {
-    const since = this.known?.epoch ?? 0;
-    if (!this.coveredSince(record, since, () => true)) return undefined;
-    if (this.known !== undefined && this.everMembers === undefined) return undefined;
+  /** Adds a record's members to the member history; undefined where an epoch was missed. */
+  private extendHistory(record: GroupRecord): ReadonlySet<string> | undefined {
+    const since = this.lastRecord?.epoch ?? 0;
+    if (!this.everyEpochSince(record, since, () => true)) return undefined;
+    if (this.lastRecord !== undefined && this.memberHistory === undefined) return undefined;
     const past = record.lineage.flatMap((epoch) => epoch.members);
     const names = [...past, ...record.members].map(memberKey);
-    return new Set([...(this.everMembers ?? []), ...names]);
+    return new Set([...(this.memberHistory ?? []), ...names]);
   }
 }
--- a/packages/peer/src/shares/ShareAuthority.ts
+++ b/packages/peer/src/shares/ShareAuthority.ts
@@ -2,33 +2,33 @@
 import type { StewardContext } from '@camphorvane/group';
 import type { PeerAddress } from '../PeerLink.ts';
 
-/** A member of the group as rates see it. */
+/** A member of the group, as team rates address it. */
 export interface ShareMember {
-  /** Names this start of the host. */
+  /** Member key: the host and its incarnation. */
   readonly key: string;
   readonly address: PeerAddress;
 }
 
-/** What rates need to know of the group; membership gives it in a running host. */
+/** The group state that team rates depend on; a running host derives it from the membership. */
 export interface ShareAuthority {
-  /** Gets the key of this start of this host. */
+  /** Gets the member key of this host. */
   self(): string;
 
-  /** Gets the newest epoch known. */
+  /** Gets the newest epoch known to this host; 0 where it knows none. */
   epoch(): number;
 
   /** Gets the members of that epoch, this host included. */
   members(): readonly ShareMember[];
 
-  /** Gets the key of a team's steward under that epoch. */
+  /** Gets the member key of a team's coordinator under that epoch. */
   stewardOf(team: TeamId): string | undefined;
 
-  /** Tells whether this host may use what it was given. */
+  /** Tells whether this host may use the shares it was granted. */
   mayAct(): boolean;
 
   /** Tells whether this host was a member in every epoch after the given one. */
   memberThroughout(since: number): boolean;
 
-  /** Gets what this host must know when it answers as a steward. */
+  /** Gets the group state that this host needs to answer as a coordinator. */
   context(): StewardContext;
 }
--- a/packages/peer/src/shares/StewardTask.ts
+++ b/packages/peer/src/shares/StewardTask.ts
@@ -3,17 +3,17 @@
 import type { PeerLink } from '../PeerLink.ts';
 import type { ShareMember } from './ShareAuthority.ts';
 
-/** After how long a message to a steward counts as lost. */
+/** Timeout of a sync with a coordinator. */
 const SYNC_TIMEOUT_MS: Millis = 400;
 
-/** What a {@link StewardTask} needs. */
+/** Options of a {@link CoordinatorSyncTask}. */
 export interface StewardTaskOptions {
   readonly member: ShareMember;
   readonly clock: Clock;
   readonly link: PeerLink;
-  /** Makes the next message. */
+  /** Builds the next sync message. */
   readonly message: () => ShareSync;
-  /** Answers where this host itself is the steward; undefined where another is. */
+  /** Answers the message where this host is the coordinator; undefined where another host is. */
   readonly answerLocally: (
     message: ShareSync,
   ) => { readonly reply: ShareReply | undefined } | undefined;
@@ -22,10 +22,10 @@
 }
 
 /**
- * The task that reports to one steward, one message at a time.
+ * Syncs with one coordinator, with at most one message in flight.
  *
- * Whoever asks for a report while one is under way shares the next one: a steward that is slow then
- * gets one message at a time, however many requests wait for it.
+ * Calls made during a sync share the next one, so that a slow coordinator gets one message at a
+ * time however many requests wait for it.
  */
 export class StewardTask {
   private readonly options: StewardTaskOptions;
@@ -39,9 +39,10 @@
   }
 
   /**
-   * Reports, and takes the answer.
+   * Sends a report and applies the reply.
    *
-   * @returns A promise that resolves when a report made after this call was answered or lost.
+   * @returns A promise that resolves when a sync that started after this call has ended, whether it
+   *   was answered or timed out.
    */
   sync(): Promise<void> {
     if (this.running === undefined) {
@@ -57,7 +58,7 @@
   }
 
   private async exchange(): Promise<void> {
-    // `running` must be set before anything here can end.
+    // Yields once, so that `running` is set before this method can finish.
     await Promise.resolve();
     const message = this.options.message();
     const local = this.options.answerLocally(message);
--- a/packages/peer/src/shares/TeamRateDump.ts
+++ b/packages/peer/src/shares/TeamRateDump.ts
@@ -1,7 +1,7 @@
 import type { Millis, TeamId } from '@camphorvane/core';
 import type { ShareHolder } from '@camphorvane/group';
 
-/** A team's state as a dump shows it. */
+/** The state of a team's rate on this host, for the state dump. */
 export interface TeamRateDump {
   readonly share: number;
   readonly level: number;
@@ -9,7 +9,7 @@
   readonly waiting: number;
 }
 
-/** Describes all that a holder has. */
+/** Creates the dump of all teams of which a holder has a share. */
 export function dumpOf(
   holder: ShareHolder,
   now: Millis,
--- a/packages/peer/src/shares/TeamRates.ts
+++ b/packages/peer/src/shares/TeamRates.ts
@@ -31,7 +31,7 @@
   readonly tokens: Tokens;
 }
 
-/** What {@link TeamRates} needs. */
+/** Options of {@link TeamRates}. */
 export interface TeamRatesOptions {
   readonly clock: Clock;
   readonly link: PeerLink;
@@ -39,15 +39,15 @@
   readonly settings?: ShareSettings;
 }
 
-/** After how long a member that was asked for tokens counts as silent. */
+/** Timeout of a request to borrow tokens from a member. */
 const BORROW_TIMEOUT_MS: Millis = 15;
 
-/** Most teams of which a host finds out in one period whether they are its own. */
-const TEAMS_PLACED_PER_PERIOD = 200;
+/** Maximum number of teams per period for which a host checks whether it is the coordinator. */
+const TEAMS_CHECKED_PER_PERIOD = 200;
 
 /**
- * Charges teams on this host, and answers as steward for the teams that are this host's to look
- * after. Over all hosts together a team gets at most its rate and burst.
+ * Charges teams on this host, and answers as the coordinator of the teams assigned to this host.
+ * Across all hosts of the group a team gets at most its rate and burst.
  */
 export class TeamRates {
   private readonly options: TeamRatesOptions;
@@ -56,7 +56,7 @@
 
   private readonly holder: ShareHolder;
 
-  private readonly steward: ShareSteward;
+  private readonly coordinator: ShareSteward;
 
   private readonly tasks = new Map<string, StewardTask>();
 
@@ -68,18 +68,18 @@
 
   private epoch = 0;
 
-  /** Spreads borrowing over the members. */
-  private nextLender = 0;
+  /** Rotates the member that is asked first, to spread borrowing over the members. */
+  private nextLenderIndex = 0;
 
-  /** Teams of which it is not yet known whether this host is to look after them. */
-  private unplaced: TeamId[] = [];
+  /** Teams for which this host has not yet checked whether it is the coordinator. */
+  private uncheckedTeams: TeamId[] = [];
 
-  /** @param options - The edges of this host. */
+  /** @param options - Clock, link, group state and settings. */
   constructor(options: TeamRatesOptions) {
     this.options = options;
     this.settings = options.settings ?? DEFAULT_SHARES;
     this.holder = new ShareHolder(this.settings);
-    this.steward = new ShareSteward(this.settings);
+    this.coordinator = new ShareSteward(this.settings);
     this.queue = new ChargeQueue({
       clock: options.clock,
       holder: this.holder,
@@ -90,34 +90,34 @@
     });
   }
 
-  /** Starts the task that reports to stewards; it ends with {@link TeamRates.stop}. */
+  /** Starts the periodic sync with coordinators; it ends with {@link TeamRates.stop}. */
   start(): void {
     void this.run();
   }
 
-  /** Ends all tasks without a word, as a crash would; grants run out by themselves. */
+  /** Stops all tasks without notifying any host, like a crash; grants expire by themselves. */
   stop(): void {
     this.stopping.abort();
   }
 
-  /** Takes the teams in force, with their rates. */
+  /** Applies the configured teams and their rates. */
   setTeams(teams: readonly TeamConfig[]): void {
     this.rates = new Map(teams.map((team) => [team.id, team.rate]));
     const now = this.now();
-    this.unplaced = [...this.rates.keys()];
+    this.uncheckedTeams = [...this.rates.keys()];
     this.holder.setTeams(this.rates, now);
-    this.steward.setTeams(this.rates, now);
+    this.coordinator.setTeams(this.rates, now);
   }
 
   /**
-   * Takes tokens of a team's rate.
+   * Charges tokens against a team's rate.
    *
-   * Load: callers of one team at one host while its tokens lie at others. A request that lacks
-   * tokens here borrows from other members; where they have too few it is refused at once and told
-   * when to come back. It waits for at most 150 ms.
+   * All callers of a team may be at one host while its tokens are at others. A request that lacks
+   * tokens here borrows from other members; where they have too few, it is refused at once with a
+   * retry delay. It waits for at most 150 ms.
    *
    * @param team - The team of the caller's key.
-   * @param tokens - Prompt plus allowed output.
+   * @param tokens - Tokens of the prompt plus the maximum output tokens.
    * @returns The charge, or a refusal `over_rate` or `share_unavailable`.
    */
   charge(team: TeamId, tokens: Tokens): ResultAsync<Charge, Refusal> {
@@ -136,10 +136,10 @@
   }
 
   /**
-   * Gives back what a request did not use.
+   * Refunds the tokens that a request did not use.
    *
-   * @param charge - What was charged.
-   * @param unused - Tokens of it that were not used.
+   * @param charge - The charge of the request.
+   * @param unused - Tokens of the charge that were not used.
    */
   refund(charge: Charge, unused: Tokens): void {
     const tokens = Math.min(Math.max(0, Math.floor(unused)), charge.tokens);
@@ -148,44 +148,44 @@
   }
 
   /**
-   * Answers a holder as the steward of its teams.
+   * Answers a holder's sync as the coordinator of its teams.
    *
    * @param from - The holder.
-   * @param message - What it reports.
-   * @returns The answer.
+   * @param message - The holder's report.
+   * @returns The reply with grants, or `ok` for a duplicate or outdated sync.
    */
   answerSync(from: PeerSender, message: ShareSync): PeerResponse {
-    const reply = this.answerAsSteward(memberKey(from), message);
+    const reply = this.answerAsCoordinator(memberKey(from), message);
     return reply === undefined ? { type: 'ok' } : { type: 'share_reply', message: reply };
   }
 
-  /** Lends tokens for a request that waits at another host. */
+  /** Lends tokens to a request that waits on another host. */
   answerBorrow(team: TeamId, tokens: Tokens): PeerResponse {
     const lent = this.options.authority.mayAct() ? this.holder.lend(team, tokens, this.now()) : 0;
     return { type: 'share_lent', tokens: lent };
   }
 
-  /** Reports teams to the steward that asked for it. */
+  /** Reports the named teams to the coordinator that requested it. */
   answerNudge(from: PeerSender, teams: readonly TeamId[]): PeerResponse {
-    this.nudged(memberKey(from), teams);
+    this.reportTeams(memberKey(from), teams);
     return { type: 'ok' };
   }
 
   /**
-   * Reports everything once more, so that a host that leaves has its shares taken back by stewards
-   * that no longer count it among those who stay.
+   * Reports all shares again before the host leaves, so that the coordinators, which no longer list
+   * it as a staying member, reclaim its shares.
    *
-   * @returns A promise that resolves when all stewards have answered or were given up.
+   * @returns A promise that resolves when each sync was answered or has timed out.
    */
   async handBack(): Promise<void> {
     this.holder.epochChanged();
     const round = (): Promise<unknown> =>
-      Promise.all(this.dueStewards().map((member) => this.taskOf(member).sync()));
+      Promise.all(this.dueCoordinators().map((member) => this.syncTaskOf(member).sync()));
     await round();
     await round();
   }
 
-  /** Gets what is held of each team, for a dump. */
+  /** Gets the state of each team's rate on this host, for the state dump. */
   dump(): Readonly<Record<TeamId, TeamRateDump>> {
     const now = this.now();
     return dumpOf(this.holder, now, (team) => this.queue.countOf(team));
@@ -197,48 +197,48 @@
 
   private async run(): Promise<void> {
     while (!this.stopping.signal.aborted) {
-      this.tick();
+      this.runPeriod();
       await sleep(this.options.clock, this.settings.periodMs, this.stopping.signal);
     }
   }
 
-  private tick(): void {
-    this.followEpoch();
-    this.placeSome();
-    this.dueStewards().forEach((member) => {
-      void this.taskOf(member).sync();
+  private runPeriod(): void {
+    this.applyEpoch();
+    this.openSomeLedgers();
+    this.dueCoordinators().forEach((member) => {
+      void this.syncTaskOf(member).sync();
     });
   }
 
   /**
-   * Opens the accounts of teams that are this host's, a few at a time: thousands of hashes at once
-   * would hold up requests for a good part of a second.
+   * Opens the ledgers of the teams that this host coordinates, a limited number per period:
+   * thousands of hashes at once would block requests for a good part of a second.
    */
-  private placeSome(): void {
+  private openSomeLedgers(): void {
     const { authority } = this.options;
     const now = this.now();
     const ctx = authority.context();
-    const own = this.unplaced
-      .splice(0, TEAMS_PLACED_PER_PERIOD)
+    const own = this.uncheckedTeams
+      .splice(0, TEAMS_CHECKED_PER_PERIOD)
       .filter((team) => authority.stewardOf(team) === authority.self());
-    own.forEach((team) => this.steward.ensure(team, ctx, now));
-    this.unplaced.push(...own.filter((team) => !ctx.maySteward(team)));
+    own.forEach((team) => this.coordinator.ensure(team, ctx, now));
+    this.uncheckedTeams.push(...own.filter((team) => !ctx.maySteward(team)));
   }
 
-  /** Presents what is held to the stewards of a new epoch. */
-  private followEpoch(): void {
+  /** Prepares the shares held by this host to be reported to the coordinators of a new epoch. */
+  private applyEpoch(): void {
     const { authority } = this.options;
     const epoch = authority.epoch();
     if (epoch === this.epoch) return;
     if (!authority.memberThroughout(this.epoch)) this.holder.dropAll(this.now());
     this.epoch = epoch;
-    this.unplaced = [...this.rates.keys()];
+    this.uncheckedTeams = [...this.rates.keys()];
     this.holder.epochChanged();
     const keys = new Set(authority.members().map((member) => member.key));
     [...this.tasks.keys()].filter((key) => !keys.has(key)).forEach((key) => this.tasks.delete(key));
   }
 
-  private dueStewards(): readonly ShareMember[] {
+  private dueCoordinators(): readonly ShareMember[] {
     const { authority } = this.options;
     const changed = new Set([...this.holder.changedTeams()].map((t) => authority.stewardOf(t)));
     const now = this.now();
@@ -249,7 +249,7 @@
     });
   }
 
-  private taskOf(member: ShareMember): StewardTask {
+  private syncTaskOf(member: ShareMember): StewardTask {
     const known = this.tasks.get(member.key);
     if (known !== undefined) return known;
     const task = new StewardTask({
@@ -259,33 +259,33 @@
       message: () => this.message(member.key),
       answerLocally: (message) =>
         member.key === this.options.authority.self()
-          ? { reply: this.answerAsSteward(member.key, message) }
+          ? { reply: this.answerAsCoordinator(member.key, message) }
           : undefined,
-      onReply: (reply) => this.takeReply(member.key, reply),
+      onReply: (reply) => this.applyReply(member.key, reply),
       onFailure: () => this.holder.failed(member.key),
     });
     this.tasks.set(member.key, task);
     return task;
   }
 
-  private message(steward: string): ShareSync {
+  private message(coordinator: string): ShareSync {
     const { authority } = this.options;
-    this.followEpoch();
+    this.applyEpoch();
     const lookup = (team: TeamId): string | undefined => authority.stewardOf(team);
-    return this.holder.sync(steward, this.epoch, lookup, this.now());
+    return this.holder.sync(coordinator, this.epoch, lookup, this.now());
   }
 
-  private answerAsSteward(holder: string, message: ShareSync): ShareReply | undefined {
+  private answerAsCoordinator(holder: string, message: ShareSync): ShareReply | undefined {
     const { authority } = this.options;
-    const answer = this.steward.answer(holder, message, authority.context(), this.now());
-    answer?.nudges.forEach((nudge) => this.nudge(nudge.holder, nudge.teams));
+    const answer = this.coordinator.answer(holder, message, authority.context(), this.now());
+    answer?.nudges.forEach((nudge) => this.sendNudge(nudge.holder, nudge.teams));
     return answer?.reply;
   }
 
-  private nudge(holder: string, teams: readonly TeamId[]): void {
+  private sendNudge(holder: string, teams: readonly TeamId[]): void {
     const { authority, link } = this.options;
     if (holder === authority.self()) {
-      this.nudged(holder, teams);
+      this.reportTeams(holder, teams);
       return;
     }
     const member = authority.members().find((one) => one.key === holder);
@@ -293,24 +293,24 @@
     void link.ask(member.address, { type: 'share_nudge', teams }, this.settings.periodMs);
   }
 
-  private nudged(steward: string, teams: readonly TeamId[]): void {
+  private reportTeams(coordinator: string, teams: readonly TeamId[]): void {
     const now = this.now();
     teams.forEach((team) => this.holder.touch(team, now));
-    this.syncSoon(steward);
+    this.syncSoon(coordinator);
   }
 
   private async syncTeam(team: TeamId): Promise<void> {
     const key = this.options.authority.stewardOf(team);
     const member = this.options.authority.members().find((one) => one.key === key);
-    if (member !== undefined) await this.taskOf(member).sync();
+    if (member !== undefined) await this.syncTaskOf(member).sync();
   }
 
-  /** Borrows from one member after the other until there is enough. */
+  /** Borrows from one member after another until there are enough tokens; resolves to their number. */
   private async borrow(team: TeamId, tokens: Tokens): Promise<Tokens> {
     const { authority, link } = this.options;
     const others = authority.members().filter((member) => member.key !== authority.self());
-    const start = this.nextLender % Math.max(1, others.length);
-    this.nextLender += 1;
+    const start = this.nextLenderIndex % Math.max(1, others.length);
+    this.nextLenderIndex += 1;
     const lenders = [...others.slice(start), ...others.slice(0, start)];
     return lenders.reduce(async (before, member) => {
       const got = await before;
@@ -321,18 +321,18 @@
     }, Promise.resolve(0));
   }
 
-  private syncSoon(steward: string): void {
-    const member = this.options.authority.members().find((one) => one.key === steward);
-    if (member !== undefined) void this.taskOf(member).sync();
+  private syncSoon(coordinator: string): void {
+    const member = this.options.authority.members().find((one) => one.key === coordinator);
+    if (member !== undefined) void this.syncTaskOf(member).sync();
   }
 
-  private takeReply(steward: string, reply: ShareReply): void {
+  private applyReply(coordinator: string, reply: ShareReply): void {
     const { authority } = this.options;
     const now = this.now();
     const lookup = (team: TeamId): string | undefined => authority.stewardOf(team);
-    const grants = this.holder.apply(steward, reply, lookup, now);
+    const grants = this.holder.apply(coordinator, reply, lookup, now);
     grants.forEach((grant) => this.queue.serve(grant.team));
     const isUrgent = grants.some((grant) => this.holder.hasGift(grant.team));
-    if (isUrgent || this.holder.hasUnlisted(steward)) this.syncSoon(steward);
+    if (isUrgent || this.holder.hasUnlisted(coordinator)) this.syncSoon(coordinator);
   }
 }
--- a/packages/peer/src/shares/WaitingCharges.ts
+++ b/packages/peer/src/shares/WaitingCharges.ts
@@ -1,7 +1,7 @@
 import type { Millis, Refusal, Tokens } from '@camphorvane/core';
 import { err, ok, type Result } from 'neverthrow';
 
-/** A request whose tokens are being fetched. */
+/** A request that waits for tokens from other hosts. */
 export interface WaitingCharge {
   readonly tokens: Tokens;
   readonly resolve: (result: Result<void, Refusal>) => void;
@@ -15,47 +15,47 @@
 
   private waiting: readonly WaitingCharge[] = [];
 
-  /** Tells whether somebody asks the steward on their behalf. */
+  /** Tells whether a sync loop with the coordinator is running for the team. */
   get isFetching(): boolean {
     return this.fetching;
   }
 
-  /** Notes that somebody asks from now on, as long as anybody waits. */
+  /** Marks the sync loop as running; it runs as long as requests wait. */
   startFetching(): void {
     this.fetching = true;
   }
 
-  /** Tells whether somebody borrows on their behalf. */
+  /** Tells whether a borrowing loop is running for the team. */
   get isBorrowing(): boolean {
     return this.borrowing;
   }
 
-  /** Gets the one that has waited longest. */
+  /** Gets the request that has waited longest. */
   get first(): WaitingCharge | undefined {
     return this.waiting[0];
   }
 
-  /** Notes whether somebody borrows. */
+  /** Marks whether a borrowing loop is running. */
   setBorrowing(borrowing: boolean): void {
     this.borrowing = borrowing;
   }
 
-  /** Tells whether one still waits. */
+  /** Tells whether a request still waits. */
   has(charge: WaitingCharge): boolean {
     return this.waiting.includes(charge);
   }
 
-  /** Ends the wait of one that was charged. */
+  /** Ends the wait of a request whose tokens were charged. */
   admit(charge: WaitingCharge): void {
     this.end(charge, ok(undefined));
   }
 
-  /** Refuses one. */
+  /** Ends the wait of a request with a refusal. */
   turnAway(charge: WaitingCharge, refusal: Refusal): void {
     this.end(charge, err(refusal));
   }
 
-  /** Gets how many wait. */
+  /** Gets the number of waiting requests. */
   get count(): number {
     return this.waiting.length;
   }
@@ -63,10 +63,10 @@
   /**
    * Waits for tokens.
    *
-   * @param tokens - What is needed.
-   * @param after - Starts the timer that ends the wait.
-   * @param refusal - What the caller is told then.
-   * @returns When they were there, or the refusal.
+   * @param tokens - Tokens that the request needs.
+   * @param after - Starts the timer that ends the wait, and returns a function that cancels it.
+   * @param refusal - Creates the refusal for a wait that timed out.
+   * @returns Nothing once the tokens are charged, or the refusal.
    */
   wait(
     tokens: Tokens,
@@ -74,22 +74,22 @@
     refusal: () => Refusal,
   ): Promise<Result<void, Refusal>> {
     return new Promise((resolve) => {
-      const entry: { charge?: WaitingCharge } = {};
+      const pending: { charge?: WaitingCharge } = {};
       const cancel = after(() => {
-        if (entry.charge !== undefined) this.end(entry.charge, err(refusal()));
+        if (pending.charge !== undefined) this.end(pending.charge, err(refusal()));
       });
-      entry.charge = {
+      pending.charge = {
         tokens,
         resolve: (result) => {
           cancel();
           resolve(result);
         },
       };
-      this.waiting = [...this.waiting, entry.charge];
+      this.waiting = [...this.waiting, pending.charge];
     });
   }
 
-  /** Serves those for whom there are tokens now, first come first. */
+  /** Ends the waits of all requests that can be charged now, in arrival order. */
   serve(charge: (tokens: Tokens) => boolean): void {
     this.waiting.filter((one) => charge(one.tokens)).forEach((one) => this.end(one, ok(undefined)));
   }
@@ -101,5 +101,5 @@
   }
 }
 
-/** Longest time for which a request waits for tokens of other hosts, in milliseconds. */
+/** Longest time that a request waits for tokens of other hosts. */
 export const LONGEST_WAIT_MS: Millis = 150;
--- a/packages/peer/tests/shares/TeamRates.test.ts
+++ b/packages/peer/tests/shares/TeamRates.test.ts
@@ -12,7 +12,7 @@
   readonly everyMs: number;
 }
 
-interface Seen {
+interface ChargeResults {
   readonly charged: number[];
   readonly codes: string[];
 }
@@ -21,33 +21,42 @@
   return numbers.reduce((a, b) => a + b, 0);
 }
 
-async function ask(fleet: RateFleet, load: Load, host: string, seen: Seen): Promise<void> {
+async function ask(
+  fleet: RateFleet,
+  load: Load,
+  host: string,
+  results: ChargeResults,
+): Promise<void> {
   const res = await fleet.host(host).rates.charge(load.team, load.tokens);
-  if (res.isErr()) seen.codes.push(res.error.code);
-  else seen.charged.push(load.tokens);
+  if (res.isErr()) results.codes.push(res.error.code);
+  else results.charged.push(load.tokens);
 }
 
-/** Charges at a fixed pace, at each host of the load in turn, and gets what became of it. */
-async function run(fleet: RateFleet, loads: readonly Load[], forMs: number): Promise<Seen[]> {
+/** Charges at a fixed interval, rotating over the hosts of each load, and collects the results. */
+async function run(
+  fleet: RateFleet,
+  loads: readonly Load[],
+  forMs: number,
+): Promise<ChargeResults[]> {
   const until = fleet.clock.now() + forMs;
   const tasks = loads.map((load) => {
-    const seen: Seen = { charged: [], codes: [] };
+    const results: ChargeResults = { charged: [], codes: [] };
     const task = async (): Promise<void> => {
       let i = 0;
       while (fleet.clock.now() < until) {
-        void ask(fleet, load, load.hosts[i % load.hosts.length] as string, seen);
+        void ask(fleet, load, load.hosts[i % load.hosts.length] as string, results);
         i += 1;
         await sleep(fleet.clock, load.everyMs);
       }
     };
     void task();
-    return seen;
+    return results;
   });
   await fleet.clock.advance(forMs + 200);
   return tasks;
 }
 
-/** Charges once. */
+/** Charges once and describes the result. */
 async function chargeOnce(fleet: RateFleet, host: string, tokens: number): Promise<string> {
   const charging = fleet.host(host).rates.charge('t', tokens);
   await fleet.clock.advance(200);
@@ -58,18 +67,18 @@
 }
 
 test('callers of one team at one host get the whole rate', async () => {
-  // All callers of a team were told the same host. With a fixed part of the rate for each host
-  // they would be refused five times out of six.
+  // All callers of a team use the same host. With a fixed fraction of the rate per host, five of six
+  // requests would be refused.
   const fleet = RateFleet.start(NAMES, [team('t', 1000, 2000)]);
   await fleet.clock.advance(3000);
   const load = { team: 't', hosts: ['c'], tokens: 80, everyMs: 100 };
-  const [seen] = await run(fleet, [load], 10_000);
-  assert.deepEqual(seen?.codes, []);
+  const [results] = await run(fleet, [load], 10_000);
+  assert.deepEqual(results?.codes, []);
   assert.equal(await chargeOnce(fleet, 'd', 1000), 'charged');
 });
 
 test('a team at five times its rate gets its rate and burst and no more', async () => {
-  // A neighbour sends far too much to all hosts at once; refusals name when to come back.
+  // One team overloads all hosts at once while another stays within its rate.
   const fleet = RateFleet.start(NAMES, [team('t', 1000, 2000), team('u', 1000, 2000)]);
   await fleet.clock.advance(3000);
   const messagesBefore = fleet.messages;
@@ -77,18 +86,18 @@
     { team: 't', hosts: NAMES, tokens: 50, everyMs: 10 },
     { team: 'u', hosts: NAMES, tokens: 50, everyMs: 100 },
   ];
-  const [seen, other] = await run(fleet, loads, 10_000);
-  const received = sum(seen?.charged ?? []);
+  const [results, other] = await run(fleet, loads, 10_000);
+  const received = sum(results?.charged ?? []);
   assert.ok(received <= 1000 * 10.2 + 2000);
   assert.ok(received >= 0.95 * (1000 * 10 + 2000), `received ${received}`);
-  assert.deepEqual([...new Set(seen?.codes)], ['over_rate']);
+  assert.deepEqual([...new Set(results?.codes)], ['over_rate']);
   assert.deepEqual(other?.codes, []);
   assert.ok(fleet.messages - messagesBefore < 20_000);
 });
 
-test('a group goes on without the steward of a team and gives its share back later', async () => {
-  // The steward crashes. Until another may act, each host has what it was granted before; what
-  // the dead host held is given to the others once its grant has surely run out.
+test('a group works without the coordinator of a team and later reassigns its share', async () => {
+  // The coordinator crashes. Until another host may act as coordinator, each host uses its current
+  // grant; the share of the crashed host goes to the others once its grant has certainly expired.
   const fleet = RateFleet.start(NAMES, [team('t', 1000, 2000)]);
   await fleet.clock.advance(3000);
   const load = { team: 't', hosts: NAMES, tokens: 50, everyMs: 100 };
@@ -105,29 +114,29 @@
   assert.ok(sum(shares) > 900_000, `${sum(shares)} units`);
 });
 
-test('a host that is out of its group admits nothing', async () => {
-  // A host is cut off and taken out of the group; its callers are told that nothing ran.
+test('a host that was removed from its group admits nothing', async () => {
+  // A partitioned host is removed from the group; the refusal must say that the request did not run.
   const fleet = RateFleet.start(NAMES, [team('t', 1000, 2000)]);
   await fleet.clock.advance(3000);
   fleet.change(['a', 'b', 'c'], 0);
   assert.equal(await chargeOnce(fleet, 'e', 10), 'share_unavailable not_run');
 });
 
-test('a changed rate holds at once and keeps the shares', async () => {
-  // Operators halve a rate while traffic runs.
+test('a changed rate takes effect at once and keeps the shares', async () => {
+  // An operator halves a rate while traffic runs.
   const fleet = RateFleet.start(NAMES, [team('t', 1000, 2000)]);
   await fleet.clock.advance(3000);
   const load = { team: 't', hosts: NAMES, tokens: 50, everyMs: 20 };
   await run(fleet, [load], 6000);
   fleet.setTeams([team('t', 500, 1000)]);
-  const [seen] = await run(fleet, [load], 10_000);
-  const received = sum(seen?.charged ?? []);
+  const [results] = await run(fleet, [load], 10_000);
+  const received = sum(results?.charged ?? []);
   assert.ok(received <= 500 * 10.2 + 1000);
   assert.ok(received >= 0.9 * 500 * 10, `received ${received}`);
 });
 
-test('messages do not grow with teams that are idle', async () => {
-  // Thousands of teams are configured and a handful call at any time.
+test('the number of messages does not grow with idle teams', async () => {
+  // Thousands of teams may be configured of which few are active at any time.
   const idle = Array.from({ length: 500 }, (_, i) => team(`idle${i}`, 1000, 2000));
   const counts = await [[team('t', 1000, 2000)], [team('t', 1000, 2000), ...idle]].reduce(
     async (before, teams) => {
