--- a/packages/peer/src/grpc/FleetCredential.ts
+++ b/packages/peer/src/grpc/FleetCredential.ts
@@ -3,27 +3,27 @@
 import type { PeerIdentity } from './peerProtocol.ts';
 
 /**
- * The secret that all hosts of a fleet share.
+ * The secret shared by all hosts of a fleet.
  *
- * The secret itself never travels: a sender shows a keyed digest of who it is and whom it speaks
- * to. Somebody who takes over a host's address would otherwise be handed the secret by the next
- * caller, and could then speak for the whole fleet.
+ * The secret itself is never sent: a sender presents a keyed digest of its identity and of the
+ * receiver. Otherwise an attacker who takes over a host's address would get the secret with the next
+ * call and could impersonate every host of the fleet.
  */
 export class FleetCredential {
   private readonly secret: string;
 
-  /** @param secret - The secret of the settings; any text that is not empty. */
+  /** @param secret - The secret from the settings; any non-empty string. */
   constructor(secret: string) {
     if (secret === '') throw new Error('the fleet credential must not be empty');
     this.secret = secret;
   }
 
   /**
-   * Gets what a sender shows to one receiver.
+   * Gets the token that a sender presents to one receiver.
    *
    * @param from - The sender.
    * @param to - The receiver.
-   * @returns A keyed digest in hexadecimal.
+   * @returns An HMAC-SHA256 in hexadecimal.
    */
   tokenFor(from: PeerIdentity, to: HostId): string {
     return createHmac('sha256', this.secret)
@@ -32,12 +32,12 @@
   }
 
   /**
-   * Tells whether a shown token is right, in a time that does not depend on how wrong it is.
+   * Verifies a token with a constant-time comparison.
    *
-   * @param token - What the sender showed.
-   * @param from - Whom the sender claims to be.
+   * @param token - The token that the sender presented.
+   * @param from - The identity that the sender claims.
    * @param to - The receiver.
-   * @returns True where sender and receiver have the same secret.
+   * @returns True where the token matches the identity, the receiver and this fleet's secret.
    */
   accepts(token: string, from: PeerIdentity, to: HostId): boolean {
     const expected = Buffer.from(this.tokenFor(from, to));
--- a/packages/peer/src/grpc/GrpcPeerLink.ts
+++ b/packages/peer/src/grpc/GrpcPeerLink.ts
@@ -8,62 +8,62 @@
 import type { PeerTls } from './PeerTls.ts';
 import { PEER_METADATA, type PeerIdentity } from './peerProtocol.ts';
 
-/** Calls that may wait for one peer at one time. */
+/** Maximum number of calls in flight to one peer. */
 const DEFAULT_MAX_IN_FLIGHT = 1024;
 
-/** A probe decides within one second, so that a silent connection costs few requests. */
+/** Timeout of a probe; one second, so that few requests are lost to an unresponsive connection. */
 const DEFAULT_PROBE_TIMEOUT_MS = 1000;
 
-/** A peer that comes back is found within about a second, not after grpc-js's two minutes. */
-const RECONNECT = { first: 100, longest: 1000 } as const;
+/** Reconnect back-off; a recovered peer is reached within about 1 s, not grpc-js's two minutes. */
+const RECONNECT_BACKOFF_MS = { initial: 100, max: 1000 } as const;
 
-/** Largest message: a chunk of configuration holds up to a megabyte. */
+/** Maximum message size; a configuration chunk holds up to one megabyte. */
 export const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
-/** What a {@link GrpcPeerLink} needs. */
+/** Options of a {@link GrpcPeerLink}. */
 export interface GrpcPeerLinkOptions {
   readonly clock: Clock;
   readonly self: PeerIdentity;
   readonly credential: FleetCredential;
-  /** Absent: plain TCP, with the credential alone. */
+  /** Mutual TLS; without it, plain TCP with the fleet credential alone. */
   readonly tls?: PeerTls;
   readonly maxInFlight?: number;
   readonly probeTimeoutMs?: Millis;
-  /** Told when a connection met silence, and what a probe on a new one found. */
+  /** Called after a call timed out without any sign of life, with the result of the probe. */
   readonly onVerdict?: (host: HostId, verdict: SilenceVerdict) => void;
 }
 
-interface KnownPeer {
+interface PeerConnection {
   readonly address: string;
   readonly channel: PeerChannel;
 }
 
-/** Asks other hosts over gRPC; one connection for each peer. */
+/** Sends requests to other hosts over gRPC, with one connection per peer. */
 export class GrpcPeerLink implements PeerLink {
   private readonly options: GrpcPeerLinkOptions;
 
-  private readonly peers = new Map<HostId, KnownPeer>();
+  private readonly peers = new Map<HostId, PeerConnection>();
 
   constructor(options: GrpcPeerLinkOptions) {
     this.options = options;
   }
 
   /**
-   * Asks a peer.
+   * Sends a request to a peer.
    *
    * @param to - The peer; a new address replaces the connection to the old one.
-   * @param req - What is asked.
+   * @param req - The request.
    * @param timeoutMs - Milliseconds after which the call ends with `timeout`.
-   * @returns The answer, or why there is none; the peer may have acted all the same.
+   * @returns The response, or an error; the peer may have executed the request in either case.
    */
   ask(to: PeerAddress, req: PeerRequest, timeoutMs: number): ResultAsync<PeerResponse, PeerError> {
     return this.channelTo(to).ask(req, timeoutMs);
   }
 
   /**
-   * Closes the connections to all hosts but the named ones, which a group has now.
+   * Closes the connections to all hosts except the named ones.
    *
-   * @param hosts - Hosts to keep.
+   * @param hosts - Hosts whose connections stay open, such as the members of the group.
    */
   retain(hosts: readonly HostId[]): void {
     const kept = new Set(hosts);
@@ -120,12 +120,12 @@
   private connect(address: string): PeerClient {
     const { tls } = this.options;
     const options: ClientOptions = {
-      // grpc-js shares connections between channels to one address; a probe needs one of its own.
+      // By default grpc-js shares connections between channels to one address; a probe needs its own.
       'grpc.use_local_subchannel_pool': 1,
-      'grpc.initial_reconnect_backoff_ms': RECONNECT.first,
-      'grpc.max_reconnect_backoff_ms': RECONNECT.longest,
+      'grpc.initial_reconnect_backoff_ms': RECONNECT_BACKOFF_MS.initial,
+      'grpc.max_reconnect_backoff_ms': RECONNECT_BACKOFF_MS.max,
       'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
-      // No service discovery and no proxy of the environment: peers are called by IP number.
+      // Peers are addressed by IP, without service discovery or proxies from the environment.
       'grpc.service_config_disable_resolution': 1,
       'grpc.enable_http_proxy': 0,
       ...(tls === undefined ? {} : { 'grpc.ssl_target_name_override': tls.serverName }),
--- a/packages/peer/src/grpc/GrpcPeerServer.ts
+++ b/packages/peer/src/grpc/GrpcPeerServer.ts
@@ -22,41 +22,41 @@
 import { requestFromWire } from './requestMapping.ts';
 import { responseToWire } from './responseMapping.ts';
 
-/** Calls of one peer that may run here at one time; more are rejected at once. */
+/** Maximum number of calls in flight from one peer; further calls are rejected at once. */
 const DEFAULT_MAX_IN_FLIGHT = 1024;
 
-/** How long a stopping server lets calls end before it cuts them, in milliseconds. */
+/** Time that running calls have to finish after the server stops accepting new ones. */
 const STOP_GRACE_MS = 1000;
 
-/** What a {@link GrpcPeerServer} needs. */
+/** Options of a {@link GrpcPeerServer}. */
 export interface GrpcPeerServerOptions {
   readonly clock: Clock;
   readonly self: PeerIdentity;
   readonly credential: FleetCredential;
-  /** Absent: plain TCP, with the credential alone. */
+  /** Mutual TLS; without it, plain TCP with the fleet credential alone. */
   readonly tls?: PeerTls;
   readonly handler: PeerHandler;
   readonly maxInFlightPerPeer?: number;
 }
 
-/** Why a call was not taken. */
+/** The gRPC status of a rejected call. */
 interface Rejection {
   readonly code: status;
   readonly details: string;
 }
 
-/** Counts of a server since its start. */
+/** Counters of a server since its start. */
 export interface PeerServerDump {
   readonly answered: number;
   readonly rejected: number;
   readonly inFlight: Readonly<Record<HostId, number>>;
 }
 
-function entryOf(metadata: Metadata, name: string): string {
+function metadataValue(metadata: Metadata, name: string): string {
   return String(metadata.get(name)[0] ?? '');
 }
 
-/** Answers other hosts over gRPC; a caller that does not belong to the fleet gets nothing. */
+/** Serves the requests of other hosts over gRPC; callers outside the fleet are rejected. */
 export class GrpcPeerServer {
   private readonly options: GrpcPeerServerOptions;
 
@@ -77,8 +77,8 @@
   /**
    * Starts to listen.
    *
-   * @param address - `ip:port`; port 0 takes a free one.
-   * @returns The port, or why the address can't be used.
+   * @param address - `ip:port`; port 0 selects a free port.
+   * @returns The port, or the error where the address can't be bound.
    */
   start(address: string): ResultAsync<number, Error> {
     const credentials = this.options.tls?.serverCredentials() ?? ServerCredentials.createInsecure();
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Stops: calls that run may end within a second, later ones are cut.
+   * Stops the server; calls still running after {@link STOP_GRACE_MS} are cancelled.
    *
    * @returns A promise that resolves when the port is free.
    */
@@ -106,7 +106,7 @@
     });
   }
 
-  /** Gets the counts for a dump. */
+  /** Gets the counters for the state dump. */
   dump(): PeerServerDump {
     const { answered, rejected } = this;
     return { answered, rejected, inFlight: Object.fromEntries(this.inFlight) };
@@ -148,15 +148,15 @@
     try {
       const req = requestFromWire(msg);
       if (req === undefined) {
-        callback({ code: status.UNIMPLEMENTED, details: 'request of unknown kind' });
+        callback({ code: status.UNIMPLEMENTED, details: 'unknown request type' });
         return;
       }
       const res = await this.options.handler.answer(sender, req);
       this.answered += 1;
       callback(null, responseToWire(res));
     } catch (error) {
-      // A handler that throws, or a message that can't be read, must not leave the call open: the
-      // asker would wait for its whole timeout and take this host for dead.
+      // A handler that throws, or a message that can't be decoded, must end the call: otherwise the
+      // caller would wait for its whole timeout and count this host as failed.
       callback({ code: status.INTERNAL, details: (error as Error).message });
     }
   }
@@ -164,25 +164,25 @@
   private admit(metadata: Metadata): PeerSender | Rejection {
     const sender = this.authenticate(metadata);
     if ('code' in sender) return sender;
-    // Load: one peer that repeats its calls in a storm must not take the memory of this host.
+    // A peer in a retry storm must not exhaust the memory of this host.
     const limit = this.options.maxInFlightPerPeer ?? DEFAULT_MAX_IN_FLIGHT;
     if ((this.inFlight.get(sender.host) ?? 0) < limit) return sender;
-    return { code: status.RESOURCE_EXHAUSTED, details: 'too many calls of this peer' };
+    return { code: status.RESOURCE_EXHAUSTED, details: 'too many calls in flight from this peer' };
   }
 
   private authenticate(metadata: Metadata): PeerSender | Rejection {
     const { self, credential } = this.options;
     const sender: PeerSender = {
-      host: entryOf(metadata, PEER_METADATA.host),
-      incarnation: entryOf(metadata, PEER_METADATA.incarnation),
-      protocol: Number(entryOf(metadata, PEER_METADATA.protocol)),
+      host: metadataValue(metadata, PEER_METADATA.host),
+      incarnation: metadataValue(metadata, PEER_METADATA.incarnation),
+      protocol: Number(metadataValue(metadata, PEER_METADATA.protocol)),
     };
-    const token = entryOf(metadata, PEER_METADATA.token);
+    const token = metadataValue(metadata, PEER_METADATA.token);
     if (!credential.accepts(token, sender, self.host)) {
       return { code: status.UNAUTHENTICATED, details: 'not a host of this fleet' };
     }
     if (isProtocolAccepted(self.protocol, sender.protocol)) return sender;
-    const details = `protocol ${sender.protocol} is too far from ${self.protocol}`;
+    const details = `protocol version ${sender.protocol} is incompatible with version ${self.protocol}`;
     return { code: status.FAILED_PRECONDITION, details };
   }
 
--- a/packages/peer/src/grpc/PeerChannel.ts
+++ b/packages/peer/src/grpc/PeerChannel.ts
@@ -6,22 +6,25 @@
 import { requestToWire } from './requestMapping.ts';
 import { responseFromWire } from './responseMapping.ts';
 
-/** What a probe on a new connection found after a call had met silence. */
+/**
+ * The result of probing a peer after a call timed out: the old connection answers, only a new
+ * connection answers, or neither does.
+ */
 export type SilenceVerdict = 'answers' | 'path_lost' | 'peer_silent';
 
-/** What a {@link PeerChannel} needs. */
+/** Options of a {@link PeerChannel}. */
 export interface PeerChannelOptions {
   readonly clock: Clock;
-  /** Opens a connection of its own, never one that another channel uses too. */
+  /** Opens a new connection that no other channel shares. */
   readonly connect: () => PeerClient;
   readonly metadata: () => Metadata;
-  /** Calls that may wait for an answer at one time; beyond that a call is rejected at once. */
+  /** Maximum number of calls in flight; further calls are rejected at once. */
   readonly maxInFlight: number;
   readonly probeTimeoutMs: Millis;
   readonly onVerdict: (verdict: SilenceVerdict) => void;
 }
 
-/** The state of one channel for a dump. */
+/** The state of one channel, for the state dump. */
 export interface PeerChannelDump {
   readonly inFlight: number;
   readonly lastHeardAt: Millis;
@@ -31,7 +34,7 @@
 
 type Outcome = Result<PeerResponse, PeerError>;
 
-function errorOf(error: ServiceError): PeerError {
+function toPeerError(error: ServiceError): PeerError {
   const message = `${status[error.code]}: ${error.details}`;
   const { code } = error;
   if (code === status.DEADLINE_EXCEEDED) return { type: 'timeout', message };
@@ -39,7 +42,7 @@
   return { type: 'rejected', message };
 }
 
-/** The way to one peer: one connection at a time, replaced when it has gone silent. */
+/** The connection to one peer, replaced where it stops working while the peer still answers. */
 export class PeerChannel {
   private readonly options: PeerChannelOptions;
 
@@ -64,33 +67,33 @@
   }
 
   /**
-   * Asks the peer.
+   * Sends a request to the peer.
    *
-   * @param req - What is asked.
-   * @param timeoutMs - Milliseconds after which the call is given up.
-   * @returns The answer, or why there is none.
+   * @param req - The request.
+   * @param timeoutMs - Milliseconds after which the call is cancelled.
+   * @returns The response, or an error.
    */
   ask(req: PeerRequest, timeoutMs: Millis): ResultAsync<PeerResponse, PeerError> {
     if (this.closed) {
       const message = 'the connection was closed';
       return new ResultAsync(Promise.resolve(err({ type: 'unreachable', message })));
     }
-    // Load: a peer that stalls while many requests need it. Without a limit each of them would
-    // hold memory here until its timeout, and the callers would learn late what is known at once.
+    // Without a limit, each call to a stalled peer would hold memory here until its timeout, and its
+    // caller would learn of the failure late.
     if (this.inFlight >= this.options.maxInFlight) {
-      const message = `${this.inFlight} calls wait for this peer`;
+      const message = `too many calls in flight to this peer: ${this.inFlight}`;
       return new ResultAsync(Promise.resolve(err({ type: 'rejected', message })));
     }
     return new ResultAsync(this.call(requestToWire(req), timeoutMs));
   }
 
-  /** Closes the connection; calls that wait end as unreachable or by their timeout. */
+  /** Closes the connection; calls in flight end as unreachable or by their timeout. */
   close(): void {
     this.closed = true;
     this.client.close();
   }
 
-  /** Gets the state for a dump. */
+  /** Gets the state for the state dump. */
   dump(): PeerChannelDump {
     const { inFlight, lastHeardAt, retired, lastVerdict } = this;
     return { inFlight, lastHeardAt, retired, lastVerdict };
@@ -119,21 +122,21 @@
 
   private outcomeOf(error: ServiceError | null, res: PeerResponse | undefined): Outcome {
     const { code } = error ?? {};
-    if (code === status.CANCELLED) return err({ type: 'timeout', message: 'no answer in time' });
+    if (code === status.CANCELLED) return err({ type: 'timeout', message: 'the call timed out' });
     if (code !== status.UNAVAILABLE) this.lastHeardAt = this.options.clock.now();
-    if (error !== null) return err(errorOf(error));
-    if (res === undefined) return err({ type: 'rejected', message: 'answer of unknown kind' });
+    if (error !== null) return err(toPeerError(error));
+    if (res === undefined) return err({ type: 'rejected', message: 'unknown response type' });
     return ok(res);
   }
 
   /**
-   * Finds out whether a silent peer is gone or only the path of this connection is. A device in
-   * between that forgot the connection drops its packets for good while new connections work, and
-   * TCP alone notices after many minutes. One notices by calls that time out with nothing heard
-   * since they were sent; a probe on a new connection beside one on the old tells the cases apart.
+   * Finds out whether the peer or only this connection has failed, after a call timed out with
+   * nothing received since it was sent. A network device that lost its state for the connection
+   * drops its packets while new connections work, which TCP alone detects only after many minutes.
+   * Probes on the old and on a new connection tell the two cases apart.
    */
   private async probe(): Promise<void> {
-    // A call may time out after its peer was dropped; gRPC throws on a closed connection.
+    // A call may time out after its channel was closed; gRPC throws on a closed connection.
     if (this.probing || this.closed) return;
     this.probing = true;
     const old = this.client;
@@ -153,8 +156,8 @@
   }
 
   private report(oldAnswers: boolean, freshAnswers: boolean): void {
-    const silent = freshAnswers ? 'path_lost' : 'peer_silent';
-    const verdict: SilenceVerdict = oldAnswers ? 'answers' : silent;
+    const failure = freshAnswers ? 'path_lost' : 'peer_silent';
+    const verdict: SilenceVerdict = oldAnswers ? 'answers' : failure;
     this.lastVerdict = verdict;
     this.options.onVerdict(verdict);
   }
--- a/packages/peer/src/grpc/PeerTls.ts
+++ b/packages/peer/src/grpc/PeerTls.ts
@@ -2,16 +2,16 @@
 import { ChannelCredentials, ServerCredentials } from '@grpc/grpc-js';
 import { type Result, err, ok } from 'neverthrow';
 
-/** Where the settings say that the certificates of mutual TLS lie. */
+/** File paths of the certificates and the key for mutual TLS, from the settings. */
 export interface PeerTlsPaths {
   readonly ca: string;
   readonly cert: string;
   readonly key: string;
-  /** Name in the certificates of all hosts; hosts are called by IP numbers, which change. */
+  /** Server name in the certificates of all hosts; hosts are addressed by IP, which may change. */
   readonly serverName: string;
 }
 
-/** Mutual TLS between hosts: both sides show a certificate of the fleet's authority. */
+/** Mutual TLS between hosts: both sides present a certificate signed by the fleet's CA. */
 export class PeerTls {
   private readonly ca: Buffer;
 
@@ -19,7 +19,7 @@
 
   private readonly key: Buffer;
 
-  /** Gets the name that a called host's certificate must carry. */
+  /** The server name that the certificate of a called host must contain. */
   readonly serverName: string;
 
   private constructor(ca: Buffer, cert: Buffer, key: Buffer, serverName: string) {
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Reads the files that the settings name.
+   * Reads the certificates and the key.
    *
-   * @param paths - The files, in PEM.
-   * @returns The certificates, or a sentence that names the file that can't be read.
+   * @param paths - Paths of the PEM files.
+   * @returns The TLS configuration, or an error message that names the file that can't be read.
    */
   static read(paths: PeerTlsPaths): Result<PeerTls, string> {
     try {
@@ -45,12 +45,12 @@
     }
   }
 
-  /** Gets the credentials of a calling host. */
+  /** Gets the client credentials. */
   channelCredentials(): ChannelCredentials {
     return ChannelCredentials.createSsl(this.ca, this.key, this.cert);
   }
 
-  /** Gets the credentials of a called host, which demand a certificate of every caller. */
+  /** Gets the server credentials, which require a client certificate. */
   serverCredentials(): ServerCredentials {
     const pair = { private_key: this.key, cert_chain: this.cert };
     return ServerCredentials.createSsl(this.ca, [pair], true);
--- a/packages/peer/src/grpc/peerProtocol.ts
+++ b/packages/peer/src/grpc/peerProtocol.ts
@@ -1,18 +1,19 @@
 import type { HostId, Incarnation } from '@camphorvane/core';
 
 /**
- * Version of the protocol between hosts that this program speaks. It grows with each change that
- * an older program would misread; added fields and variants do not need a new version.
+ * Version of the peer protocol implemented here. It increases with each change that an older version
+ * would misread; added fields and variants don't need a new version.
  */
 export const PEER_PROTOCOL = 1;
 
 /**
- * How far two versions may lie apart. During a replacement hosts of two neighbouring releases run
- * side by side; a wider window would ask every release to understand all earlier ones.
+ * Maximum difference between two compatible protocol versions. During a rolling update hosts of two
+ * successive releases run side by side; a wider window would require each release to understand
+ * more earlier ones.
  */
 export const PROTOCOL_WINDOW = 1;
 
-/** Names of the metadata entries by which a host says who it is. */
+/** Names of the gRPC metadata entries that identify the sender. */
 export const PEER_METADATA = {
   protocol: 'camphorvane-protocol',
   host: 'camphorvane-host',
@@ -20,20 +21,20 @@
   token: 'camphorvane-token',
 } as const;
 
-/** One host as it takes part in the exchange between hosts. */
+/** The identity of a host in the peer protocol. */
 export interface PeerIdentity {
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  /** Version of the protocol; {@link PEER_PROTOCOL} unless a test plays an older or newer host. */
+  /** Protocol version; {@link PEER_PROTOCOL} unless a test simulates an older or newer host. */
   readonly protocol: number;
 }
 
 /**
- * Tells whether two versions of the protocol may talk to each other.
+ * Tells whether two protocol versions are compatible.
  *
- * @param own - The version of this program.
+ * @param own - The version of this host.
  * @param other - The version of the other host.
- * @returns True where they lie within {@link PROTOCOL_WINDOW}.
+ * @returns True where they differ by at most {@link MAX_PROTOCOL_VERSION_GAP}.
  */
 export function isProtocolAccepted(own: number, other: number): boolean {
   return Number.isInteger(other) && Math.abs(own - other) <= PROTOCOL_WINDOW;
--- a/packages/peer/src/grpc/requestMapping.ts
+++ b/packages/peer/src/grpc/requestMapping.ts
@@ -36,12 +36,12 @@
 
 type Body = wire.AskRequest['body'];
 
-type RequestWriters = {
+type RequestEncoders = {
   readonly [T in PeerRequest['type']]?: (req: RequestOf<T>) => Body;
 };
 
-/** How each variant is written; one that is missing here travels as JSON. */
-const WRITERS: RequestWriters = {
+/** Encoders by variant; a variant without an encoder is sent as JSON. */
+const ENCODERS: RequestEncoders = {
   reserve: (req) => ({ $case: 'reserve', reserve: reserveToWire(req) }),
   withdraw: (req) => ({ $case: 'withdraw', withdraw: req }),
   renew: (req) => ({ $case: 'renew', renew: req }),
@@ -53,21 +53,21 @@
 };
 
 /**
- * Turns a request into its message. A variant without a message of its own travels as JSON.
+ * Converts a request to its protobuf message. A variant without its own message is sent as JSON.
  *
  * @param req - The request.
  * @returns The message.
  */
 export function requestToWire(req: PeerRequest): wire.AskRequest {
-  const write = WRITERS[req.type] as ((from: PeerRequest) => Body) | undefined;
-  return { body: write?.(req) ?? { $case: 'json', json: JSON.stringify(req) } };
+  const encode = ENCODERS[req.type] as ((from: PeerRequest) => Body) | undefined;
+  return { body: encode?.(req) ?? { $case: 'json', json: JSON.stringify(req) } };
 }
 
 /**
- * Reads a request.
+ * Converts a protobuf message to a request.
  *
  * @param msg - The message.
- * @returns The request, or undefined where a newer host sent a variant that is not known here.
+ * @returns The request, or undefined where a newer host sent an unknown variant.
  */
 export function requestFromWire(msg: wire.AskRequest): PeerRequest | undefined {
   const { body } = msg;
--- a/packages/peer/src/grpc/responseMapping.ts
+++ b/packages/peer/src/grpc/responseMapping.ts
@@ -13,12 +13,12 @@
 
 type Body = wire.AskResponse['body'];
 
-type ResponseWriters = {
+type ResponseEncoders = {
   readonly [T in PeerResponse['type']]?: (res: Extract<PeerResponse, { type: T }>) => Body;
 };
 
-/** How each variant is written; one that is missing here travels as JSON. */
-const WRITERS: ResponseWriters = {
+/** Encoders by variant; a variant without an encoder is sent as JSON. */
+const ENCODERS: ResponseEncoders = {
   placed: (res) => ({ $case: 'placed', placed: res.placement }),
   refused: (res) => ({ $case: 'refused', refused: res.refusal }),
   renewed: (res) => ({ $case: 'renewed', renewed: res }),
@@ -29,21 +29,21 @@
 };
 
 /**
- * Turns an answer into its message. A variant without a message of its own travels as JSON.
+ * Converts a response to its protobuf message. A variant without its own message is sent as JSON.
  *
- * @param res - The answer.
+ * @param res - The response.
  * @returns The message.
  */
 export function responseToWire(res: PeerResponse): wire.AskResponse {
-  const write = WRITERS[res.type] as ((from: PeerResponse) => Body) | undefined;
-  return { body: write?.(res) ?? { $case: 'json', json: JSON.stringify(res) } };
+  const encode = ENCODERS[res.type] as ((from: PeerResponse) => Body) | undefined;
+  return { body: encode?.(res) ?? { $case: 'json', json: JSON.stringify(res) } };
 }
 
 /**
- * Reads an answer.
+ * Converts a protobuf message to a response.
  *
  * @param msg - The message.
- * @returns The answer, or undefined where a newer host sent a variant that is not known here.
+ * @returns The response, or undefined where a newer host sent an unknown variant.
  */
 export function responseFromWire(msg: wire.AskResponse): PeerResponse | undefined {
   const { body } = msg;
--- a/packages/peer/src/grpc/wireSize.ts
+++ b/packages/peer/src/grpc/wireSize.ts
@@ -4,20 +4,20 @@
 import { responseToWire } from './responseMapping.ts';
 
 /**
- * Gets the bytes of a question as a message, without the framing of HTTP/2 and gRPC.
+ * Gets the encoded size of a request, without the framing of HTTP/2 and gRPC.
  *
- * @param req - The question.
- * @returns Bytes.
+ * @param req - The request.
+ * @returns Size in bytes.
  */
 export function requestBytes(req: PeerRequest): number {
   return AskRequest.encode(requestToWire(req)).finish().length;
 }
 
 /**
- * Gets the bytes of an answer as a message, without the framing of HTTP/2 and gRPC.
+ * Gets the encoded size of a response, without the framing of HTTP/2 and gRPC.
  *
- * @param res - The answer.
- * @returns Bytes.
+ * @param res - The response.
+ * @returns Size in bytes.
  */
 export function responseBytes(res: PeerResponse): number {
   return AskResponse.encode(responseToWire(res)).finish().length;
--- a/packages/peer/tests/grpc/GrpcPeerLink.test.ts
+++ b/packages/peer/tests/grpc/GrpcPeerLink.test.ts
@@ -93,7 +93,7 @@
   { type: 'not_steward', epoch: 7 },
 ];
 
-test('each request and each answer arrives as it was sent, with the sender named', async () => {
+test('requests, responses and the sender arrive unchanged', async () => {
   const queue = [...RESPONSES];
   const senders: PeerSender[] = [];
   const pair = await startPair({
@@ -115,9 +115,9 @@
   assert.deepEqual(senders[0], identity('a'));
 });
 
-test('a program without the fleet credential gets nothing', async () => {
-  // Somebody on the same network calls a host's peer port with another secret, or shows a token
-  // that was made for another host. It must not learn anything, nor reach the handler.
+test('a caller without a valid fleet credential is rejected', async () => {
+  // A caller on the same network uses another secret, or a token issued for another host. Its calls
+  // must be rejected without reaching the handler.
   const stranger = await startPair({ link: { credential: new FleetCredential('guess') } });
   const refused = await stranger.link.ask(stranger.to, WITHDRAW, 2000);
   await stranger.stop();
@@ -131,8 +131,8 @@
   assert.deepEqual(misled.seen, []);
 });
 
-test('with mutual TLS a caller without a certificate of the fleet is not heard', async () => {
-  // The credential has leaked, and a stranger with a certificate of its own making calls.
+test('with mutual TLS a caller without a certificate of the fleet is rejected', async () => {
+  // The credential has leaked; a caller uses it with a certificate that the fleet's CA didn't sign.
   const ours = await startPair({ server: { tls: tls('host') }, link: { tls: tls('host') } });
   const heard = await ours.link.ask(ours.to, WITHDRAW, 2000);
   await ours.stop();
@@ -145,9 +145,9 @@
   assert.deepEqual(theirs.seen, []);
 });
 
-test('neighbouring versions of the protocol talk, farther ones are told so', async () => {
-  // During a replacement old and new programs run side by side. A version two releases away could
-  // misread a message, so both sides say clearly that they do not match.
+test('successive protocol versions are compatible, others are rejected by name', async () => {
+  // During a rolling update old and new versions run side by side. A version two releases away could
+  // misread a message, so its calls must be rejected with an error that names both versions.
   const ask = async (protocol: number): Promise<string> => {
     const self = identity('a', protocol);
     const pair = await startPair({ server: { self: identity('b', 5) }, link: { self } });
@@ -160,12 +160,13 @@
   };
   assert.equal(await ask(4), 'ok');
   assert.equal(await ask(6), 'ok');
-  assert.match(await ask(3), /protocol 3 is too far from 5/);
+  assert.match(await ask(3), /protocol version 3 is incompatible with version 5/);
   assert.ok(PEER_PROTOCOL >= 1);
 });
 
 test('calls beyond the limit for one peer are rejected at once', async () => {
-  // A peer stalls while requests keep coming. Without a limit they would all wait for its timeout.
+  // A peer stalls while requests keep arriving. Without a limit all of them would wait until their
+  // timeouts.
   let open: () => void = () => undefined;
   const gate = new Promise<void>((resolve) => {
     open = resolve;
@@ -183,18 +184,18 @@
   assert.ok(answers.every((answer) => answer.isOk()));
 });
 
-test('a connection that has gone silent is replaced while the peer still answers', async () => {
-  // A device between two hosts forgets an open connection: its packets vanish, new connections
-  // work. Without the probe every call to that peer would time out until TCP gives up.
+test('a broken connection is replaced while the peer still answers', async () => {
+  // A network device loses its state for an open connection and drops its packets, while new
+  // connections work. Without the probe every call to the peer would time out until TCP gives up.
   const verdicts: string[] = [];
-  let told: () => void = () => undefined;
+  let notify: () => void = () => undefined;
   const nextVerdict = (): Promise<void> =>
     new Promise((resolve) => {
-      told = resolve;
+      notify = resolve;
     });
   const onVerdict = (host: string, verdict: string): void => {
     verdicts.push(`${host} ${verdict}`);
-    told();
+    notify();
   };
   let relay: SilencingRelay | undefined;
   const pair = await startPair({
@@ -221,7 +222,7 @@
   assert.deepEqual(verdicts, ['b path_lost', 'b peer_silent']);
 });
 
-test('a peer that is gone is unreachable', async () => {
+test('a call to a stopped peer fails as unreachable', async () => {
   const pair = await startPair();
   await pair.server.stop();
   const res = await pair.link.ask(pair.to, WITHDRAW, 2000);
