--- a/packages/peer/src/PeerLink.ts
+++ b/packages/peer/src/PeerLink.ts
@@ -27,27 +27,27 @@
   readonly address: string;
 }
 
-/** Who sent a message; checked by the receiver against the epoch that it knows. */
+/** The sender of a message, which the receiver checks against its own epoch. */
 export interface PeerSender {
   readonly host: HostId;
   readonly incarnation: Incarnation;
-  /** Version of the protocol that the sender speaks. */
+  /** Version of the peer protocol that the sender uses. */
   readonly protocol: number;
 }
 
-/** A place that the steward reserved. */
+/** A placement that the pool's coordinator reserved. */
 export interface Placement {
   readonly reservation: ReservationId;
   readonly prefill: UpstreamId;
   readonly decode: UpstreamId;
   readonly pieces: number;
   readonly priority: number;
-  /** Milliseconds for which the reservation holds without a renewal. */
+  /** Milliseconds after which the reservation expires unless it is renewed. */
   readonly ttlMs: number;
   readonly expectedCachedTokens: number;
 }
 
-/** What one host asks of another. */
+/** A request from one host to another. */
 export type PeerRequest =
   | { readonly type: 'reserve'; readonly model: ModelId; readonly item: WorkItem }
   | { readonly type: 'crashes'; readonly reports: readonly CrashReport[] }
@@ -73,17 +73,17 @@
       readonly observations: readonly EngineObservation[];
     }
   | { readonly type: 'share_sync'; readonly message: ShareSync }
-  /** Asks a holder for tokens of a team, for one request that waits. */
+  /** Borrows tokens of a team from a holder, for one waiting request. */
   | { readonly type: 'share_borrow'; readonly team: TeamId; readonly tokens: Tokens }
-  /** Asks a holder to report some teams to the asking steward at once. */
+  /** Requests a holder to report the named teams to the sending coordinator at once. */
   | { readonly type: 'share_nudge'; readonly teams: readonly TeamId[] }
   | { readonly type: 'membership'; readonly message: Hello };
 
-/** What the other host answers. */
+/** The response to a {@link PeerRequest}. */
 export type PeerResponse =
   | { readonly type: 'placed'; readonly placement: Placement }
   | { readonly type: 'refused'; readonly refusal: Refusal }
-  /** The request still waits; its holder asks again, which also shows that the holder lives. */
+  /** The request is still queued; its holder retries, which also shows that the holder is alive. */
   | { readonly type: 'waiting' }
   | { readonly type: 'config_version'; readonly version: number }
   | { readonly type: 'config_root'; readonly object?: StoredObject }
@@ -95,33 +95,33 @@
   | { readonly type: 'share_reply'; readonly message: ShareReply }
   | { readonly type: 'membership'; readonly message: Welcome };
 
-/** Why a peer gave no answer. */
+/** Why a call to a peer failed. */
 export type PeerError =
   | { readonly type: 'unreachable'; readonly message: string }
   | { readonly type: 'timeout'; readonly message: string }
   | { readonly type: 'rejected'; readonly message: string };
 
-/** Sends requests to other hosts: gRPC in a running host, in memory in a scenario. */
+/** Sends requests to other hosts: over gRPC in production, in memory in scenarios. */
 export interface PeerLink {
   /**
-   * Asks a peer.
+   * Sends a request to a peer.
    *
    * @param to - The peer.
-   * @param req - What is asked.
+   * @param req - The request.
    * @param timeoutMs - Milliseconds after which the call ends with `timeout`.
-   * @returns The answer, or why there is none; the peer may have acted all the same.
+   * @returns The response, or an error; the peer may have executed the request in either case.
    */
   ask(to: PeerAddress, req: PeerRequest, timeoutMs: number): ResultAsync<PeerResponse, PeerError>;
 }
 
-/** Answers what other hosts ask. */
+/** Handles the requests of other hosts. */
 export interface PeerHandler {
   /**
-   * Answers one request.
+   * Handles one request.
    *
-   * @param from - The sender, authenticated by the link.
-   * @param req - What is asked.
-   * @returns The answer.
+   * @param from - The sender, authenticated by the transport.
+   * @param req - The request.
+   * @returns The response.
    */
   answer(from: PeerSender, req: PeerRequest): Promise<PeerResponse>;
 }
--- a/packages/peer/src/group/GroupObject.ts
+++ b/packages/peer/src/group/GroupObject.ts
@@ -12,13 +12,13 @@
 
 const log = debug('camphorvane:group');
 
-/** The platform's kind of a group's object. */
+/** The kind under which the platform's store holds a group's object. */
 export const GROUP_KIND = 'group';
 
-/** A platform that answers in milliseconds and has not after this long is down for this purpose. */
+/** Timeout of a call to the platform, which normally answers within milliseconds. */
 const CALL_TIMEOUT_MS = 2_000;
 
-/** The object of one group in the platform, and the host list beside it. */
+/** Accesses the object of one group in the platform's store, and the platform's host list. */
 export class GroupObject {
   private readonly store: ObjectStore;
 
@@ -29,8 +29,8 @@
   private callCount = 0;
 
   /**
-   * @param store - The platform.
-   * @param clock - Bounds the calls.
+   * @param store - The platform's store.
+   * @param clock - Clock for the timeout of calls.
    * @param group - The group's name.
    */
   constructor(store: ObjectStore, clock: Clock, group: string) {
@@ -39,14 +39,14 @@
     this.group = group;
   }
 
-  /** Gets how many calls the platform was asked for. */
+  /** Gets the number of calls made to the platform. */
   get calls(): number {
     return this.callCount;
   }
 
-  /** Reads the record. */
+  /** Reads the group's record. */
   async read(): Promise<ReadOutcome> {
-    const res = await this.bounded(this.store.get(GROUP_KIND, this.group));
+    const res = await this.withTimeout(this.store.get(GROUP_KIND, this.group));
     if (res === undefined || res.isErr()) return { type: 'failed' };
     if (res.value === undefined) return { type: 'absent' };
     const { version, value } = res.value;
@@ -60,12 +60,15 @@
   }
 
   /**
-   * Writes a record if the object is as expected.
+   * Writes a record if the object still has the expected version.
    *
-   * @returns `unknown` where the answer was lost: the write may have taken effect, or may yet do so.
+   * @param record - The new record.
+   * @param expected - Version of the object, or `absent` where it must not exist yet.
+   * @returns The outcome; `unknown` where the call failed or timed out, since the write may have
+   *   taken effect or may still do so.
    */
   async write(record: GroupRecord, expected: number | 'absent'): Promise<WriteOutcome> {
-    const res = await this.bounded(this.store.put(GROUP_KIND, this.group, record, expected));
+    const res = await this.withTimeout(this.store.put(GROUP_KIND, this.group, record, expected));
     if (res === undefined) return { type: 'unknown' };
     return res.match<WriteOutcome>(
       (object) => ({ type: 'written', version: object.version }),
@@ -73,14 +76,14 @@
     );
   }
 
-  /** Reads the host list; undefined where the platform gave none. */
+  /** Reads the platform's host list; undefined where the call failed or timed out. */
   async readHosts(): Promise<readonly ListedHost[] | undefined> {
-    const res = await this.bounded(this.store.hosts());
+    const res = await this.withTimeout(this.store.hosts());
     return res?.isOk() ? res.value : undefined;
   }
 
-  /** Waits for a call, but not for ever: a call without an answer must not end all later ones. */
-  private async bounded<T>(
+  /** Waits for a call with a timeout, so that an unanswered call doesn't block all later ones. */
+  private async withTimeout<T>(
     call: ResultAsync<T, PlatformError>,
     timeoutMs: Millis = CALL_TIMEOUT_MS,
   ) {
--- a/packages/peer/src/group/GroupRunner.ts
+++ b/packages/peer/src/group/GroupRunner.ts
@@ -20,10 +20,10 @@
 
 const log = debug('camphorvane:group');
 
-/** Ticks in one period of greetings: fine enough that a wait ends soon after its time. */
-const TICKS_PER_PERIOD = 5;
+/** Ticks per heartbeat period, so that each wait ends within a fifth of the period of its deadline. */
+const TICKS_PER_HEARTBEAT = 5;
 
-/** What a runner needs. */
+/** Options of a {@link GroupRunner}. */
 export interface GroupRunnerOptions {
   readonly group: string;
   readonly self: MemberIdentity;
@@ -34,10 +34,10 @@
   readonly link: PeerLink;
 }
 
-/** Told when the epoch or the permission to act has changed, and when a takeover's wait is over. */
+/** Called when the epoch or the permission to act changes, and when the wait for a takeover ends. */
 export type GroupListener = (view: GroupView) => void;
 
-/** A runner's state as a dump shows it. */
+/** The state of a runner, for the state dump. */
 export interface GroupDump {
   readonly view: GroupView;
   readonly self: MemberIdentity;
@@ -60,7 +60,7 @@
   return `${view.epoch} ${view.mayAct} ${isSettled}`;
 }
 
-/** Drives a {@link GroupMember} with a clock, the platform and links to peers. */
+/** Runs a {@link GroupMember}: feeds it time, platform reads and peer messages, and executes its effects. */
 export class GroupRunner {
   private readonly options: GroupRunnerOptions;
 
@@ -76,7 +76,7 @@
 
   private lastChange = '';
 
-  /** @param options - Its group, host, settings and edges. */
+  /** @param options - The group, this host, the settings, the clock, the store and the link. */
   constructor(options: GroupRunnerOptions) {
     this.options = options;
     const settings = { ...options.settings, jitter: options.random.next() };
@@ -84,47 +84,47 @@
     this.object = new GroupObject(options.store, options.clock, options.group);
   }
 
-  /** Starts the task that ticks; it ends with {@link GroupRunner.stop}. */
+  /** Starts the periodic ticks; they end with {@link GroupRunner.stop}. */
   start(): void {
     void this.run();
   }
 
-  /** Ends all tasks without a word to anybody, as a crash would. */
+  /** Stops all tasks without notifying any host, like a crash. */
   stop(): void {
     this.stopping.abort();
   }
 
-  /** Gets the newest record that this host knows. */
+  /** Gets the newest group record known to this host. */
   record(): GroupRecord | undefined {
     return this.member.state.record;
   }
 
-  /** Gets what this host knows of its group. */
+  /** Gets this host's view of its group. */
   view(): GroupView {
     return this.member.view(this.now());
   }
 
-  /** Tells whether this host may use what its epoch gives it. */
+  /** Tells whether this host may act under its epoch. */
   mayAct(): boolean {
     return this.view().mayAct;
   }
 
-  /** Gets the steward of a key under the newest epoch known; it may not have taken over yet. */
+  /** Gets the coordinator of a key under the newest known epoch; it may not have taken over yet. */
   stewardOf(key: string): HostId | undefined {
     return this.member.stewardOf(key);
   }
 
-  /** Tells whether this host may act as the steward of a key now. */
+  /** Tells whether this host may act as the coordinator of a key now. */
   maySteward(key: string): boolean {
     return this.member.maySteward(key, this.now());
   }
 
   /**
-   * Listens for changes of the epoch and of the permission to act, and for the end of the wait after
-   * which keys of lost hosts may be taken over.
+   * Registers a listener for changes of the epoch and of the permission to act, and for the end of
+   * the wait after which keys of failed hosts may be taken over.
    *
-   * @param listener - Told the view after each change.
-   * @returns A function that ends the listening.
+   * @param listener - Called with the view after each change.
+   * @returns A function that removes the listener.
    */
   onChange(listener: GroupListener): () => void {
     this.listeners.add(listener);
@@ -133,27 +133,27 @@
     };
   }
 
-  /** Answers a peer's greeting; undefined for one that is malformed or from another group. */
+  /** Answers a peer's heartbeat; undefined for one that is malformed or from another group. */
   answer(message: Hello): Welcome | undefined {
     return parseHello(message).match(
       (hello) => this.step({ type: 'asked', message: hello })[0],
       (problem) => {
-        log('group %s got a malformed greeting: %s', this.options.group, problem);
+        log('group %s received a malformed heartbeat: %s', this.options.group, problem);
         return undefined;
       },
     );
   }
 
-  /** Says that this host takes no new work: it is named to nobody and hands its stewardships on. */
+  /** Starts to drain: the host is marked as draining and hands its keys over to other coordinators. */
   drain(): void {
     this.step({ type: 'drain' });
   }
 
   /**
-   * Stops acting for good and waits until the group's record is without this host.
+   * Stops acting permanently and waits until the group's record no longer lists this host.
    *
-   * @param timeoutMs - Milliseconds to wait at most; the others notice the silence then.
-   * @returns True if the record is without this host.
+   * @param timeoutMs - Maximum wait in milliseconds; after it, peers detect the missing heartbeats.
+   * @returns True if the record no longer lists this host.
    */
   async leave(timeoutMs: Millis): Promise<boolean> {
     this.step({ type: 'leave' });
@@ -166,7 +166,7 @@
     return left;
   }
 
-  /** Gets the whole state in readable form. */
+  /** Gets the whole state, for the state dump. */
   dump(): GroupDump {
     const { state } = this.member;
     return {
@@ -191,7 +191,7 @@
   }
 
   private tickMs(): Millis {
-    return this.options.settings.vouchPeriodMs / TICKS_PER_PERIOD;
+    return this.options.settings.vouchPeriodMs / TICKS_PER_HEARTBEAT;
   }
 
   private isNamed(): boolean {
@@ -206,7 +206,7 @@
     }
   }
 
-  /** Takes one input in, starts what follows from it, and gives back the replies. */
+  /** Applies one input, executes the resulting effects and returns the replies. */
   private step(input: MemberInput): readonly Welcome[] {
     if (this.stopping.signal.aborted) return [];
     const effects = this.member.step(input, this.now());
@@ -276,7 +276,7 @@
     this.listeners.forEach((listener) => listener(view));
   }
 
-  /** Forgets the tasks of peers that the state no longer knows. */
+  /** Removes the heartbeat tasks of peers that are no longer in the state. */
   private dropPeers(): void {
     const known = this.member.state.peers;
     [...this.peers.keys()]
--- a/packages/peer/src/group/PeerTask.ts
+++ b/packages/peer/src/group/PeerTask.ts
@@ -2,20 +2,20 @@
 import { parseWelcome, type MemberEffect, type Welcome } from '@camphorvane/group';
 import type { PeerLink } from '../PeerLink.ts';
 
-/** A greeting to one peer. */
+/** A heartbeat to one peer. */
 export type AskEffect = Extract<MemberEffect, { type: 'ask' }>;
 
-/** Told what a peer answered to a greeting. */
+/** Called with a peer's answer to a heartbeat. */
 export type AnswerListener = (ask: AskEffect, message: Welcome) => void;
 
 /**
- * The task that greets one peer, one greeting at a time.
+ * Sends heartbeats to one peer, with at most one in flight.
  *
- * A peer that hangs must not pile up greetings: while one is under way only the newest waits, and
- * it keeps the time at which it was meant to go, so that waiting never lengthens a vouch.
+ * Heartbeats must not pile up for a hanging peer: while one is in flight only the newest is queued.
+ * It keeps its original send time, so that queueing never extends the lease that its answer grants.
  */
 export class PeerTask {
-  private waiting?: AskEffect;
+  private queued?: AskEffect;
 
   private running = false;
 
@@ -30,9 +30,9 @@
   private unanswered = 0;
 
   /**
-   * @param link - Reaches the peer.
-   * @param timeoutMs - Milliseconds after which a greeting counts as unanswered.
-   * @param onAnswer - Told each answer.
+   * @param link - Link to the peer.
+   * @param timeoutMs - Milliseconds after which a heartbeat counts as unanswered.
+   * @param onAnswer - Called with each answer.
    */
   constructor(link: PeerLink, timeoutMs: Millis, onAnswer: AnswerListener) {
     this.link = link;
@@ -40,22 +40,22 @@
     this.onAnswer = onAnswer;
   }
 
-  /** Gets how many greetings went out and how many of them had no answer. */
+  /** Gets the number of heartbeats sent, and of those that had no valid answer. */
   get counts(): { readonly sent: number; readonly unanswered: number } {
     return { sent: this.sent, unanswered: this.unanswered };
   }
 
-  /** Greets the peer as soon as the greeting before has ended. */
+  /** Sends a heartbeat, or queues it until the one in flight has ended. */
   send(ask: AskEffect): void {
-    this.waiting = ask;
+    this.queued = ask;
     if (!this.running) void this.run();
   }
 
   private async run(): Promise<void> {
     this.running = true;
-    while (this.waiting !== undefined) {
-      const ask = this.waiting;
-      this.waiting = undefined;
+    while (this.queued !== undefined) {
+      const ask = this.queued;
+      this.queued = undefined;
       await this.ask(ask);
     }
     this.running = false;
--- a/packages/peer/tests/group/GroupRunner.test.ts
+++ b/packages/peer/tests/group/GroupRunner.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { GroupWorld, KEYS } from '../support/GroupWorld.ts';
 
-test('hosts that start together become one group in which every key has one steward', async () => {
+test('hosts that start together form one group in which every key has one coordinator', async () => {
   const world = new GroupWorld();
   const ids = await world.startGroup(6);
   ids.forEach((id) => {
@@ -12,7 +12,7 @@
   KEYS.forEach((key) => assert.equal(world.stewards(key).length, 1, key));
 });
 
-test('a listener hears of a new member and of the permission to act', async () => {
+test('a listener is notified of the permission to act and of a new member', async () => {
   const world = new GroupWorld();
   const first = world.start('h1');
   const seen: string[] = [];
--- a/packages/peer/tests/group/failures.test.ts
+++ b/packages/peer/tests/group/failures.test.ts
@@ -4,9 +4,9 @@
 import { GROUP_KIND } from '../../src/index.ts';
 import { GroupWorld, KEYS, SETTINGS } from '../support/GroupWorld.ts';
 
-const T = SETTINGS.actForMs;
-const TAKEOVER = MEMBERSHIP_RULES.takeoverWait(SETTINGS);
-const MINUTE = 60_000;
+const ACT_LEASE_MS = SETTINGS.actForMs;
+const TAKEOVER_WAIT_MS = MEMBERSHIP_RULES.takeoverWait(SETTINGS);
+const MINUTE_MS = 60_000;
 
 function storedMembers(world: GroupWorld): readonly string[] {
   const value = world.platform.get(GROUP_KIND, 'g0')?.value;
@@ -19,25 +19,25 @@
 }
 
 test('a platform outage of ten minutes stops no member', async () => {
-  // The platform's store goes down and stays down. Callers should notice nothing: members vouch for
-  // each other, so that each goes on acting and every key keeps its steward.
+  // The platform's store stays down. Members renew each other's leases, so that each continues to act
+  // and every key keeps its coordinator.
   const world = new GroupWorld();
   const ids = await world.startGroup(5);
   world.platform.down = true;
-  await world.run(10 * MINUTE, 5_000);
+  await world.run(10 * MINUTE_MS, 5_000);
   ids.forEach((id) => assert.equal(world.runner(id).mayAct(), true));
   assertEveryKeyServed(world);
 });
 
-test('a host that crashes during an outage costs its own keys only', async () => {
-  // The platform is down when a host dies, so that no new epoch can be written. Callers of its keys
-  // wait until the platform is back; all others notice nothing.
+test('a host that crashes during a platform outage affects only its own keys', async () => {
+  // Without the platform no new epoch can be written, so the keys of the crashed host have no
+  // coordinator until the platform is back; all other keys keep theirs.
   const world = new GroupWorld();
   await world.startGroup(5);
   const lost = KEYS.filter((key) => world.runner('h1').stewardOf(key) === 'h2');
   world.platform.down = true;
   world.crash('h2');
-  await world.run(MINUTE, 500);
+  await world.run(MINUTE_MS, 500);
   KEYS.forEach((key) => assert.equal(world.stewards(key).length, lost.includes(key) ? 0 : 1));
   world.platform.down = false;
   await world.run(30_000);
@@ -45,15 +45,15 @@
   assert.deepEqual(storedMembers(world), ['h1', 'h3', 'h4', 'h5']);
 });
 
-test('a host cut off from all stops within T and its keys are taken over after that', async () => {
-  // A switch dies and one host reaches neither peers nor the platform, though it still runs and may
-  // still reach callers. It must stop by its own clock before another host takes over its keys.
+test('an isolated host stops acting within its lease before its keys are taken over', async () => {
+  // One host reaches neither its peers nor the platform, but still runs and may reach callers. It
+  // must stop acting by its own clock before another host takes over its keys.
   const world = new GroupWorld();
   await world.startGroup(5);
   world.isCut = (a, b) => a === 'h3' || b === 'h3';
-  await world.run(T);
+  await world.run(ACT_LEASE_MS);
   assert.equal(world.runner('h3').mayAct(), false);
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 2_000);
+  await world.run(SETTINGS.suspectMs + TAKEOVER_WAIT_MS + 2_000);
   assertEveryKeyServed(world);
   world.isCut = () => false;
   await world.run(20_000);
@@ -61,55 +61,55 @@
   assert.equal(world.membersAt('h3').length, 5);
 });
 
-test('with the platform on the minority side of a split, nobody is thrown out', async () => {
-  // The network splits two from three, and only the two reach the platform. Both sides go on with
-  // their own keys, and nobody takes over a key of the other side.
+test('with the platform on the minority side of a partition, no member is removed', async () => {
+  // The network separates two hosts from three, and only the two reach the platform. Both sides keep
+  // their own keys, and no host takes over a key of the other side.
   const world = new GroupWorld();
   const ids = await world.startGroup(5);
   const { epoch } = world.runner('h1').view();
   const minority = new Set(['h1', 'h2', 'platform']);
   world.isCut = (a, b) => minority.has(a) !== minority.has(b);
-  await world.run(MINUTE, 250);
+  await world.run(MINUTE_MS, 250);
   ids.forEach((id) => assert.equal(world.runner(id).mayAct(), true, id));
   assertEveryKeyServed(world);
   assert.equal(world.runner('h1').view().epoch, epoch);
 });
 
-test('with the platform on the majority side of a split, the majority takes over', async () => {
-  // The network splits two from three, and only the three reach the platform. The two stop within
-  // T, and a little later the three serve all keys.
+test('with the platform on the majority side of a partition, the majority takes over', async () => {
+  // The network separates two hosts from three, and only the three reach the platform. The two stop
+  // acting within their leases, and after the takeover wait the three serve all keys.
   const world = new GroupWorld();
   await world.startGroup(5);
   const minority = new Set(['h1', 'h2']);
   world.isCut = (a, b) => minority.has(a) !== minority.has(b);
-  await world.run(T);
+  await world.run(ACT_LEASE_MS);
   assert.equal(world.runner('h1').mayAct(), false);
   assert.equal(world.runner('h2').mayAct(), false);
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 3_000);
+  await world.run(SETTINGS.suspectMs + TAKEOVER_WAIT_MS + 3_000);
   assert.deepEqual(storedMembers(world), ['h3', 'h4', 'h5']);
   assertEveryKeyServed(world);
 });
 
-test('a member paused beyond T wakes without permission to act', async () => {
-  // A host's process is frozen for longer than T and then goes on, not knowing that time passed.
-  // Its keys have another steward by then, so the first thing it does must not be to act on them.
+test('a member paused for longer than its lease resumes without permission to act', async () => {
+  // A host's process is frozen for longer than its lease and then continues, unaware of the pause.
+  // Its keys have another coordinator by then, so it must not act on them.
   const world = new GroupWorld();
   await world.startGroup(5);
-  const sleeper = world.host('h2');
-  sleeper.clock.pause();
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 5_000);
+  const paused = world.host('h2');
+  paused.clock.pause();
+  await world.run(SETTINGS.suspectMs + TAKEOVER_WAIT_MS + 5_000);
   assertEveryKeyServed(world);
-  assert.equal(sleeper.runner.mayAct(), false);
-  sleeper.clock.resume();
-  assert.equal(sleeper.runner.mayAct(), false);
+  assert.equal(paused.runner.mayAct(), false);
+  paused.clock.resume();
+  assert.equal(paused.runner.mayAct(), false);
   await world.run(20_000);
-  assert.equal(sleeper.runner.mayAct(), true);
+  assert.equal(paused.runner.mayAct(), true);
   assertEveryKeyServed(world);
 });
 
-test('clocks that drift to the bound never make two stewards', async () => {
-  // One host's clock runs slow and another's fast, both to the bound, while the slow one is cut off.
-  // It believes that less time has passed than the others, who must wait for it.
+test('clocks that drift up to the bound never lead to two coordinators', async () => {
+  // One host's clock is slow and those of the others are fast, both by the drift bound, while the
+  // slow host is isolated. Less time passes on its clock, so the others must wait for it.
   const world = new GroupWorld({ driftBound: 0.2 });
   world.start('h1', 1 / 1.2);
   ['h2', 'h3', 'h4'].forEach((id) => world.start(id, 1.2));
@@ -121,9 +121,9 @@
   assert.deepEqual(storedMembers(world), ['h2', 'h3', 'h4']);
 });
 
-test('two hosts that write the same epoch end in one', async () => {
-  // All hosts of a new group start in the same moment and each tries to write epoch 1. One wins;
-  // the others must join it instead of running groups of their own.
+test('hosts that write the same epoch concurrently end in one group', async () => {
+  // All hosts of a new group start at the same time and each tries to write epoch 1. One succeeds;
+  // the others must join it instead of running separate groups.
   const world = new GroupWorld();
   await world.startGroup(9);
   const records = new Set(
@@ -133,22 +133,22 @@
   assert.equal(storedMembers(world).length, 9);
 });
 
-test('a write whose answer is lost is found by reading', async () => {
-  // A host dies, the new epoch is written and takes effect, but the answer never arrives. Callers
-  // of the dead host's keys wait a little longer, no more.
+test('a write whose response was lost is found by reading', async () => {
+  // A host crashes and the new epoch is written, but the response of the write is lost. The keys of
+  // the crashed host are taken over a little later.
   const world = new GroupWorld();
   await world.startGroup(5);
   world.platform.lostAnswers = 1;
   world.crash('h1');
-  await world.run(SETTINGS.suspectMs + TAKEOVER + 5_000);
+  await world.run(SETTINGS.suspectMs + TAKEOVER_WAIT_MS + 5_000);
   assert.equal(world.platform.lostAnswers, 0);
   assert.deepEqual(world.membersAt('h2'), ['h2', 'h3', 'h4', 'h5']);
   assertEveryKeyServed(world);
 });
 
-test('when every host was replaced at once the host list lets the new ones begin', async () => {
-  // All hosts die and others take their place, so that nobody is left to close the old epoch.
-  // Callers are refused until the platform's list has missed the old hosts for long enough.
+test('when all hosts are replaced at once, the host list lets the new ones start', async () => {
+  // All hosts crash and others replace them, so that no member is left to end the old epoch. The new
+  // ones must not act until the platform's host list has lacked the old hosts for long enough.
   const world = new GroupWorld();
   const old = await world.startGroup(3);
   old.forEach((id) => world.crash(id));
@@ -162,9 +162,9 @@
   assertEveryKeyServed(world);
 });
 
-test('a group whose hosts all restart in place goes on without the host list', async () => {
-  // A power cut restarts every host at its old address, so the list shows no change. The new
-  // processes answer in place of the old ones, which proves that those have ended.
+test('a group whose hosts all restart in place continues without the host list', async () => {
+  // A power failure restarts every host at its old address, so the host list doesn't change. The new
+  // incarnations answer at the old addresses, which proves that the old ones have ended.
   const world = new GroupWorld();
   const ids = await world.startGroup(5);
   ids.forEach((id) => world.crash(id));
@@ -175,9 +175,9 @@
   assertEveryKeyServed(world);
 });
 
-test('replacing every host one after another never leaves a key unserved for long', async () => {
-  // Hosts are replaced one at a time for a new version of the program. Each leaves in good order,
-  // so that its keys move without the wait that a crash costs.
+test('a rolling replacement of all hosts never leaves a key unserved for long', async () => {
+  // Hosts are replaced one at a time for a new version. Each leaves gracefully, so that its keys move
+  // without the takeover wait of a crash.
   const world = new GroupWorld();
   const ids = await world.startGroup(6);
   await ids.reduce<Promise<void>>(async (before, id, index) => {
@@ -197,16 +197,16 @@
   assert.deepEqual(storedMembers(world), ['h11', 'h12', 'h13', 'h14', 'h15', 'h16']);
 });
 
-test('a third of the hosts at a time can crash and come back', async () => {
-  // An availability zone with a third of the hosts goes without notice and comes back, and then the
-  // next one does. The other two thirds are a majority each time and take over.
+test('the hosts of one availability zone at a time can crash and restart', async () => {
+  // Each availability zone, with a third of the hosts, fails without notice and recovers in turn. The
+  // other two thirds are a majority each time and take over.
   const world = new GroupWorld();
   const ids = await world.startGroup(6);
   await [0, 1, 2].reduce<Promise<void>>(async (before, zone) => {
     await before;
     const hosts = ids.filter((_, index) => index % 3 === zone);
     hosts.forEach((id) => world.crash(id));
-    await world.run(SETTINGS.suspectMs + TAKEOVER + 5_000);
+    await world.run(SETTINGS.suspectMs + TAKEOVER_WAIT_MS + 5_000);
     assertEveryKeyServed(world);
     hosts.forEach((id) => world.start(id));
     await world.run(15_000);
@@ -215,9 +215,9 @@
   assert.deepEqual(storedMembers(world), [...ids]);
 });
 
-test('a leaving host is steward of nothing and named as draining within two seconds', async () => {
-  // An operator takes a host out of service. Callers who ask for addresses and hosts that look for
-  // a steward must not be sent to it any more, while it still ends what it has.
+test('a draining host coordinates no key and is marked as draining within two seconds', async () => {
+  // An operator drains a host. Callers that request addresses and hosts that look up a coordinator
+  // must no longer be sent to it, while it finishes its work in flight.
   const world = new GroupWorld();
   const ids = await world.startGroup(6);
   world.runner('h4').drain();
@@ -231,21 +231,21 @@
   assertEveryKeyServed(world);
 });
 
-test('a path broken between two members removes neither', async () => {
-  // Something between two hosts has lost track of them, while both reach everybody else. Thrown out
-  // by one, the other would come back and be thrown out again, and keys would move all the time.
+test('a broken path between two members removes neither', async () => {
+  // Two hosts can't reach each other, while both reach all others. If one removed the other, that
+  // would rejoin and be removed again, and keys would move continuously.
   const world = new GroupWorld();
   const ids = await world.startGroup(5);
   const { epoch } = world.runner('h1').view();
   world.isCut = (a, b) => [a, b].sort().join() === 'h1,h2';
-  await world.run(MINUTE, 250);
+  await world.run(MINUTE_MS, 250);
   assert.equal(world.runner('h1').view().epoch, epoch);
   ids.forEach((id) => assert.equal(world.runner(id).mayAct(), true));
 });
 
-test('a record removed by hand is written again by those who still know it', async () => {
-  // Somebody deletes the group's object. A host that starts then must join the group that runs
-  // instead of beginning another one whose stewards would act beside the old ones.
+test('a manually deleted record is written again by the members', async () => {
+  // An operator deletes the group's object. A host that starts afterwards must join the running group
+  // instead of starting another whose coordinators would act beside the old ones.
   const world = new GroupWorld();
   await world.startGroup(3);
   const { epoch } = world.runner('h1').view();
