--- a/packages/peer/tests/grpc/GrpcPeerLink.test.ts
+++ b/packages/peer/tests/grpc/GrpcPeerLink.test.ts
@@ -134,9 +134,9 @@
 test('with mutual TLS a caller without a certificate of the fleet is rejected', async () => {
   // The credential has leaked; a caller uses it with a certificate that the fleet's CA didn't sign.
   const ours = await startPair({ server: { tls: tls('host') }, link: { tls: tls('host') } });
-  const heard = await ours.link.ask(ours.to, WITHDRAW, 2000);
+  const accepted = await ours.link.ask(ours.to, WITHDRAW, 2000);
   await ours.stop();
-  assert.ok(heard.isOk());
+  assert.ok(accepted.isOk());
 
   const theirs = await startPair({ server: { tls: tls('host') }, link: { tls: tls('stranger') } });
   const refused = await theirs.link.ask(theirs.to, WITHDRAW, 2000);
--- a/packages/peer/tests/measure/membership.ts
+++ b/packages/peer/tests/measure/membership.ts
@@ -1,13 +1,13 @@
 import { RandomSource, type HostId, type Millis } from '@camphorvane/core';
 import { GroupWorld, KEYS } from '../support/GroupWorld.ts';
 
-/** Group sizes that are measured: the smallest that survives a crash, and the range of a group. */
+/** Measured group sizes, from the smallest that survives a crash to the largest. */
 const SIZES = [3, 6, 9];
 
-/** Crashes and leaves measured for each size, at different moments of the periods. */
+/** Number of crashes and of leaves measured per size, at different phases of the heartbeat period. */
 const TRIALS = 10;
 
-/** Virtual time over which a quiet group's messages are counted. */
+/** Virtual time over which the messages of an idle group are counted. */
 const QUIET_MS = 60_000;
 
 const STEP_MS = 50;
@@ -24,7 +24,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Measures a group in which nothing happens, per host and second. */
+/** Measures the load of an idle group, per host and second. */
 async function quiet(size: number): Promise<Quiet> {
   const world = new GroupWorld();
   await world.startGroup(size);
@@ -41,7 +41,7 @@
   };
 }
 
-/** Measures from an event on how long some key has no steward. */
+/** Measures how long any key has no coordinator after an event. */
 async function timeUnserved(world: GroupWorld, without: HostId): Promise<Millis> {
   const start = world.clock.now();
   const isServed = (key: string): boolean => world.stewards(key).some((id) => id !== without);
@@ -56,7 +56,7 @@
   const world = new GroupWorld();
   const ids = await world.startGroup(size);
   await world.clock.advance(random.int(0, 1_000));
-  // A host without keys would make the trial pass in no time.
+  // A host without keys would end the trial at once.
   const victim = ids.find((id) => KEYS.some((key) => world.runner(id).stewardOf(key) === id));
   if (victim === undefined) throw new Error('no host has a key');
   if (kind === 'crash') world.crash(victim);
--- a/packages/peer/tests/support/FakePlatform.ts
+++ b/packages/peer/tests/support/FakePlatform.ts
@@ -11,7 +11,7 @@
 
 const DOWN: PlatformError = { type: 'unavailable', message: 'the platform is down' };
 
-/** One platform for all hosts of a test. */
+/** An in-memory platform that all hosts of a test share. */
 export class FakePlatform {
   readonly objects = new Map<string, StoredObject>();
 
@@ -19,7 +19,7 @@
 
   down = false;
 
-  /** How many writes take effect without their answers arriving. */
+  /** Number of upcoming writes that take effect but whose responses are lost. */
   lostAnswers = 0;
 
   calls = 0;
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Gets the store as one host sees it.
+   * Gets the store for one host.
    *
-   * @param isCut - Whether the host is cut off from the platform now.
+   * @param isCut - Tells whether the host is currently partitioned from the platform.
    */
   storeFor(isCut: () => boolean): ObjectStore {
     const guard = <T>(run: () => ResultAsync<T, PlatformError>): ResultAsync<T, PlatformError> => {
--- a/packages/peer/tests/support/GroupWorld.ts
+++ b/packages/peer/tests/support/GroupWorld.ts
@@ -20,10 +20,10 @@
 
 const ZONES = ['north', 'middle', 'south'];
 
-/** One way through the network between two hosts. */
+/** One-way network latency between two hosts. */
 const LATENCY_MS = 1;
 
-/** Keys whose stewards are checked after each step of time. */
+/** Keys whose coordinators are checked after each time step. */
 export const KEYS = Array.from({ length: 12 }, (_, index) => `team-${index}`);
 
 /** A host that runs in a test. */
@@ -31,10 +31,10 @@
   readonly self: MemberIdentity;
   readonly clock: HostClock;
   readonly runner: GroupRunner;
-  dead: boolean;
+  crashed: boolean;
 }
 
-/** Several hosts of one group over a platform and a network that a test can break. */
+/** A simulated group of hosts, with a platform and a network into which a test injects failures. */
 export class GroupWorld {
   readonly clock = new VirtualClock(1_000);
 
@@ -42,15 +42,15 @@
 
   readonly hosts = new Map<HostId, RunningHost>();
 
-  /** Every process that ever ran, since a paused one must not act after its host restarted. */
+  /** All processes ever started, since a paused one must not act after its host restarted. */
   readonly processes: RunningHost[] = [];
 
-  /** Breaks of the network: whether two ends (a host, or `platform`) can reach each other. */
+  /** Tells whether the network between two endpoints, a host or `platform` each, is partitioned. */
   isCut: (from: string, to: string) => boolean = () => false;
 
   messages = 0;
 
-  /** Size of all messages as JSON, without the framing of a transport. */
+  /** Total size of all messages as JSON, without transport framing. */
   bytes = 0;
 
   private readonly settings: MembershipSettings;
@@ -61,7 +61,7 @@
     this.settings = { ...SETTINGS, ...settings };
   }
 
-  /** Starts a host, or starts it again as another incarnation. */
+  /** Starts a host, or restarts it as a new incarnation. */
   start(id: HostId, rate = 1): RunningHost {
     this.starts += 1;
     const number = Number(id.replace(/\D/g, ''));
@@ -82,7 +82,7 @@
       store: this.platform.storeFor(() => this.isCut(id, 'platform')),
       link: this.linkOf(id),
     });
-    const host = { self, clock, runner, dead: false };
+    const host = { self, clock, runner, crashed: false };
     this.hosts.set(id, host);
     this.processes.push(host);
     this.list(id, 'live');
@@ -90,7 +90,7 @@
     return host;
   }
 
-  /** Starts several hosts and waits until they are one group. */
+  /** Starts several hosts and waits until they have formed one group. */
   async startGroup(count: number): Promise<readonly HostId[]> {
     const ids = Array.from({ length: count }, (_, index) => `h${index + 1}`);
     ids.forEach((id) => this.start(id));
@@ -108,14 +108,14 @@
     return this.host(id).runner;
   }
 
-  /** Ends a host's process without a word. */
+  /** Crashes a host's process. */
   crash(id: HostId): void {
     const host = this.host(id);
-    host.dead = true;
+    host.crashed = true;
     host.runner.stop();
   }
 
-  /** Changes what the platform's host list says of a host. */
+  /** Sets the state of a host in the platform's host list. */
   list(id: HostId, state: 'live' | 'leaving' | 'gone'): void {
     const rest = this.platform.hosts.filter((entry) => entry.id !== id);
     const { zone, callerAddress, peerAddress } = this.host(id).self;
@@ -123,7 +123,7 @@
     this.platform.hosts = state === 'gone' ? rest : [...rest, { ...entry, state }];
   }
 
-  /** Lets time pass, checking at each step that no key has two stewards. */
+  /** Advances the clock, and checks at each step that no key has two coordinators. */
   async run(span: Millis, step: Millis = 50): Promise<void> {
     const until = this.clock.now() + span;
     while (this.clock.now() < until) {
@@ -132,14 +132,14 @@
     }
   }
 
-  /** Gets the hosts that may act as a key's steward now. */
+  /** Gets the hosts that may act as a key's coordinator now. */
   stewards(key: string): readonly HostId[] {
     return this.processes
-      .filter((host) => !host.dead && !host.clock.paused && host.runner.maySteward(key))
+      .filter((host) => !host.crashed && !host.clock.paused && host.runner.maySteward(key))
       .map((host) => host.self.host);
   }
 
-  /** Gets the names of the members that a host knows. */
+  /** Gets the sorted ids of the members in a host's view. */
   membersAt(id: HostId): readonly HostId[] {
     return [
       ...this.runner(id)
@@ -149,9 +149,9 @@
   }
 
   private checkKey(key: string): void {
-    const stewards = this.stewards(key);
-    if (stewards.length > 1) {
-      throw new Error(`${key} has stewards ${stewards.join(', ')} at ${this.clock.now()}`);
+    const coordinators = this.stewards(key);
+    if (coordinators.length > 1) {
+      throw new Error(`${key} has coordinators ${coordinators.join(', ')} at ${this.clock.now()}`);
     }
   }
 
@@ -165,13 +165,13 @@
     this.messages += 1;
     this.bytes += JSON.stringify(req).length;
     const target = this.hosts.get(to.host);
-    const isLost = (): boolean => this.isCut(from, to.host) || target?.dead !== false;
+    const isLost = (): boolean => this.isCut(from, to.host) || target?.crashed !== false;
     await sleep(this.clock, LATENCY_MS);
     if (isLost() || target === undefined) return this.timeout(timeoutMs);
     const answer = await Promise.race([
       new Promise<PeerResponse | undefined>((resolve) => {
         target.clock.whenAwake(() => {
-          const isMembership = req.type === 'membership' && !target.dead;
+          const isMembership = req.type === 'membership' && !target.crashed;
           const message = isMembership ? target.runner.answer(req.message) : undefined;
           resolve(message === undefined ? undefined : { type: 'membership', message });
         });
--- a/packages/peer/tests/support/HostClock.ts
+++ b/packages/peer/tests/support/HostClock.ts
@@ -1,12 +1,12 @@
 import type { CancelTimer, Clock, Millis } from '@camphorvane/core';
 
-/** A host's own clock over the test's clock: it runs at a rate of its own, and can be paused. */
+/** A host's clock derived from the test's clock, with its own rate; it can be paused. */
 export class HostClock implements Clock {
   private readonly base: Clock;
 
   private readonly rate: number;
 
-  private held: (() => void)[] | undefined;
+  private pendingCallbacks: (() => void)[] | undefined;
 
   constructor(base: Clock, rate = 1) {
     this.base = base;
@@ -14,7 +14,7 @@
   }
 
   get paused(): boolean {
-    return this.held !== undefined;
+    return this.pendingCallbacks !== undefined;
   }
 
   now(): Millis {
@@ -37,20 +37,20 @@
     };
   }
 
-  /** Runs something now, or on waking while the host is paused. */
+  /** Runs a callback now, or when the host resumes where it is paused. */
   whenAwake(run: () => void): void {
-    if (this.held === undefined) run();
-    else this.held.push(run);
+    if (this.pendingCallbacks === undefined) run();
+    else this.pendingCallbacks.push(run);
   }
 
-  /** Freezes the host's process: time goes on, but nothing of it runs. */
+  /** Freezes the host's process: time advances, but none of its callbacks run. */
   pause(): void {
-    this.held ??= [];
+    this.pendingCallbacks ??= [];
   }
 
   resume(): void {
-    const held = this.held ?? [];
-    this.held = undefined;
-    held.forEach((run) => run());
+    const pendingCallbacks = this.pendingCallbacks ?? [];
+    this.pendingCallbacks = undefined;
+    pendingCallbacks.forEach((run) => run());
   }
 }
--- a/packages/peer/tests/support/RateFleet.ts
+++ b/packages/peer/tests/support/RateFleet.ts
@@ -12,10 +12,10 @@
 } from '@camphorvane/peer';
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 
-/** One way between two hosts, in milliseconds. */
+/** One-way network latency between two hosts. */
 const HOP_MS = 1;
 
-/** One epoch of a group as a test sets it up. */
+/** One epoch of a test group. */
 interface TestEpoch {
   readonly members: readonly string[];
 }
@@ -28,8 +28,8 @@
 }
 
 /**
- * Hosts with the rates that run in a product, over links in memory. The group's epochs are set by
- * the test; a steward may act from `settledAt` on, as membership would allow it.
+ * Hosts with the production {@link TeamRates} over in-memory links. The test sets the group's epochs;
+ * a new coordinator may act from `settledAt` on, as the membership would allow it.
  */
 export class RateFleet {
   readonly clock = new VirtualClock();
@@ -44,7 +44,7 @@
 
   private teams: readonly TeamConfig[] = [];
 
-  /** Starts a group of hosts in its first epoch. */
+  /** Starts a group of hosts in epoch 1. */
   static start(names: readonly string[], teams: readonly TeamConfig[]): RateFleet {
     const fleet = new RateFleet();
     fleet.teams = teams;
@@ -60,20 +60,20 @@
     return host;
   }
 
-  /** Takes a configuration into force at all hosts. */
+  /** Applies a team configuration on all hosts. */
   setTeams(teams: readonly TeamConfig[]): void {
     this.teams = teams;
     this.hosts.forEach((host) => host.rates.setTeams(teams));
   }
 
-  /** Ends a host at once. */
+  /** Crashes a host. */
   kill(name: string): void {
     const host = this.host(name);
     host.alive = false;
     host.rates.stop();
   }
 
-  /** Starts the next epoch; stewards that are new in it may act after a wait. */
+  /** Starts the next epoch; coordinators that are new in it may act after a wait. */
   change(members: readonly string[], waitMs: number): void {
     this.epochs.push({ members });
     this.settledAt = this.clock.now() + waitMs;
@@ -82,7 +82,7 @@
       .forEach((name) => this.add(name));
   }
 
-  /** Gets the steward of a team. */
+  /** Gets the coordinator of a team under an epoch, by default the newest. */
   stewardOf(id: string, epoch = this.epochs.length): string {
     return rendezvousFirst(id, this.epochs[epoch - 1]?.members ?? []) ?? '';
   }
@@ -170,7 +170,7 @@
   }
 }
 
-/** Makes a team with a rate. */
+/** Creates the configuration of a team with a rate. */
 export function team(id: string, tokensPerSecond: number, burstTokens: number): TeamConfig {
   return { id, rate: { tokensPerSecond, burstTokens }, keyDigests: [], models: [], weight: 1 };
 }
--- a/packages/peer/tests/support/SilencingRelay.ts
+++ b/packages/peer/tests/support/SilencingRelay.ts
@@ -1,24 +1,24 @@
 import net from 'node:net';
 
-/** A relay on loopback whose open connections can be made silent while new ones work. */
+/** A TCP relay on loopback that can drop the bytes of its open connections while new ones work. */
 export class SilencingRelay {
   private readonly server: net.Server;
 
   private readonly sockets = new Set<net.Socket>();
 
-  private silent = new Set<net.Socket>();
+  private silenced = new Set<net.Socket>();
 
-  private dead = false;
+  private dropsAll = false;
 
   constructor(targetPort: number) {
-    this.server = net.createServer((near) => {
-      const far = net.connect(targetPort, '127.0.0.1');
-      this.forward(near, far);
-      this.forward(far, near);
+    this.server = net.createServer((inbound) => {
+      const outbound = net.connect(targetPort, '127.0.0.1');
+      this.forward(inbound, outbound);
+      this.forward(outbound, inbound);
     });
   }
 
-  /** Starts to listen on a free port. */
+  /** Listens on a free port and resolves to the address. */
   listen(): Promise<string> {
     return new Promise((resolve) => {
       this.server.listen(0, '127.0.0.1', () => {
@@ -27,14 +27,14 @@
     });
   }
 
-  /** Drops all bytes of the connections that are open now, without closing them. */
+  /** Drops all bytes of the currently open connections, without closing them. */
   silence(): void {
-    this.silent = new Set(this.sockets);
+    this.silenced = new Set(this.sockets);
   }
 
-  /** Drops the bytes of new connections too, as if the peer were gone without a word. */
+  /** Drops the bytes of all connections, including new ones, as if the peer had crashed. */
   silenceAll(): void {
-    this.dead = true;
+    this.dropsAll = true;
   }
 
   close(): void {
@@ -45,7 +45,7 @@
   private forward(from: net.Socket, to: net.Socket): void {
     this.sockets.add(from);
     from.on('data', (data) => {
-      if (!this.dead && !this.silent.has(from)) to.write(data);
+      if (!this.dropsAll && !this.silenced.has(from)) to.write(data);
     });
     from.on('error', () => to.destroy());
     from.on('close', () => {
--- a/packages/peer/tests/support/grpcPair.ts
+++ b/packages/peer/tests/support/grpcPair.ts
@@ -23,7 +23,7 @@
   readonly server: GrpcPeerServer;
   readonly link: GrpcPeerLink;
   readonly to: PeerAddress;
-  /** Requests that the handler was given. */
+  /** Requests that the handler received. */
   readonly seen: PeerRequest[];
   stop(): Promise<void>;
 }
@@ -32,11 +32,11 @@
   readonly server?: Partial<GrpcPeerServerOptions>;
   readonly link?: Partial<GrpcPeerLinkOptions>;
   readonly handler?: PeerHandler;
-  /** Address at which the link calls instead of the server's own, given the server's port. */
+  /** Gets the address that the link connects to in place of the server's, given the server's port. */
   readonly through?: (port: number) => Promise<string>;
 }
 
-/** Starts host `b` on a free port of loopback, and the link by which host `a` calls it. */
+/** Starts the server of host `b` on a free loopback port, and the link by which host `a` calls it. */
 export async function startPair(options: GrpcPairOptions = {}): Promise<GrpcPair> {
   const clock = new SystemClock();
   const credential = new FleetCredential(SECRET);
