--- a/packages/peer/src/group/GroupObject.ts
+++ b/packages/peer/src/group/GroupObject.ts
@@ -15,7 +15,7 @@
 /** The kind under which the platform's store holds a group's object. */
 export const GROUP_KIND = 'group';
 
-/** Timeout of a call to the platform, which normally answers within milliseconds. */
+/** Timeout of a call; the platform answers in milliseconds, so a slower one counts as unavailable. */
 const CALL_TIMEOUT_MS = 2_000;
 
 /** Accesses the object of one group in the platform's store, and the platform's host list. */
