--- a/packages/group/src/membership/GroupMember.ts
+++ b/packages/group/src/membership/GroupMember.ts
@@ -43,10 +43,8 @@
 }
 
 /**
- * State machine of one host in the membership protocol of its group, without I/O.
- *
- * The state is an immutable value that each step replaces, so that the model checker can store it,
- * compare it and branch from it.
+ * State machine of one host in the membership protocol of its group, without I/O. Each step replaces
+ * the immutable state, so that the model checker can store it, compare it and branch from it.
  */
 export class GroupMember {
   private current: MemberState;
@@ -108,7 +106,6 @@
   /**
    * Handles one event.
    *
-   * @param input - The event.
    * @param now - The host's monotonic time in milliseconds.
    * @returns The actions to perform, in order.
    */
@@ -178,11 +175,9 @@
   }
 
   /**
-   * Gets the interval between reads of the group's record.
-   *
-   * Reads are rare while the members vouch for each other, because the platform's call rate does
-   * not grow with the fleet. They are frequent only when the permission to act is expiring or a
-   * write is due.
+   * Gets the interval between reads of the group's record. Reads are rare while the members vouch
+   * for each other, because the platform's call rate does not grow with the fleet, and frequent
+   * only when the permission to act is expiring or a write is due.
    */
   private readInterval(state: MemberState, now: Millis): Millis {
     const until = getActExpiry(state, this.settings);
@@ -199,10 +194,8 @@
       state.previousClosedAt === undefined ||
       members.some((member) => !member.listed) ||
       getTimedOutMembers(state, this.settings, now).length > 0;
-    const period = isUrgent
-      ? this.settings.urgentHostListIntervalMs
-      : this.settings.hostListIntervalMs;
-    const spread = period * (1 + this.settings.jitter / 2);
+    const ms = isUrgent ? this.settings.urgentHostListIntervalMs : this.settings.hostListIntervalMs;
+    const spread = ms * (1 + this.settings.jitter / 2);
     const isDue = state.lastHostsAt === undefined || now >= state.lastHostsAt + spread;
     if (!isDue || state.record === undefined) return { state, effects: [] };
     return { state: { ...state, lastHostsAt: now }, effects: [{ type: 'read_hosts' }] };
@@ -243,9 +236,8 @@
     message: Welcome,
     now: Millis,
   ): MemberState {
-    const replaced = withReplacement(this.current, to, message.from);
-    const adopted =
-      message.record === undefined ? replaced : withRecord(replaced, message.record, now);
+    const state = withReplacement(this.current, to, message.from);
+    const adopted = message.record === undefined ? state : withRecord(state, message.record, now);
     const known = withWelcome(adopted, message, sentAt, now);
     return withVouches(known, this.rules, now);
   }
@@ -277,20 +269,16 @@
   }
 
   /**
-   * Writes the next epoch right after a read, if one is wanted.
-   *
-   * The write is conditional on the version just read, so that of two hosts writing the same epoch
-   * one gets a conflict. A record removed by hand is written again by members that still know it;
-   * otherwise the next host to start would create epoch 1 beside them.
+   * Writes a wanted epoch right after a read, on condition of the version read, so that of two hosts
+   * writing the same epoch one gets a conflict. Members that still know a record removed by hand
+   * write it again; otherwise the next host to start would create epoch 1 beside them.
    */
   private writeIfWanted(state: MemberState, expected: number | 'absent', now: Millis): Stepped {
     const { settings, rules } = this;
     const { record } = state;
     if (record === undefined) {
-      const isCreating = expected === 'absent' && state.intent === 'stay';
-      return isCreating
-        ? this.write(state, firstRecord(state), expected, now)
-        : { state, effects: [] };
+      const isNew = expected === 'absent' && state.intent === 'stay';
+      return isNew ? this.write(state, firstRecord(state), expected, now) : { state, effects: [] };
     }
     const proposed = withChangeWanted(state, settings, rules, now);
     const isDue = isWriteDue(proposed, settings, rules, now);
@@ -313,8 +301,6 @@
   }
 
   /**
-   * Handles the result of a write.
-   *
    * After a conflict or a lost answer the member stays in its epoch and reads again: the stored
    * record is the next epoch, whoever wrote it, and a write that takes effect late is found the
    * same way. No member takes over before a majority knows the new epoch.
@@ -340,9 +326,7 @@
     const { record } = state;
     if (record === undefined || now < state.nextHelloAt) return { state, effects: [] };
     const before = record.lineage.at(-1)?.members ?? [];
-    const removed = before.filter(
-      (past) => !past.ended && getKnownEpoch(state, past) < record.epoch,
-    );
+    const removed = before.filter((old) => !old.ended && getKnownEpoch(state, old) < record.epoch);
     const targets = new Map(
       [...record.members, ...removed]
         .filter((member) => memberKey(member) !== memberKey(state.self) && !hasEnded(state, member))
