--- a/packages/bench/src/rates/RateGroup.ts
+++ b/packages/bench/src/rates/RateGroup.ts
@@ -9,11 +9,11 @@
 } from '@camphorvane/core';
 import { DEFAULT_MEMBERSHIP_SETTINGS, memberKey, type MemberIdentity } from '@camphorvane/group';
 import {
-  GroupAuthority,
+  GroupShareAuthority,
   GroupRunner,
   type PeerHandler,
   type PeerResponse,
-  teamKey,
+  teamCoordinatorKey,
   TeamRates,
 } from '@camphorvane/peer';
 import { MemoryNetwork, MemoryObjectStore } from '@camphorvane/stand-ins';
@@ -72,7 +72,9 @@
   /** Gets the steward of a team, as the first living host knows it. */
   stewardOf(team: string): HostId | undefined {
     const [first] = this.live;
-    return first === undefined ? undefined : this.host(first).runner.stewardOf(teamKey(team));
+    return first === undefined
+      ? undefined
+      : this.host(first).runner.coordinatorOf(teamCoordinatorKey(team));
   }
 
   /** Gets how many members the group's record names. */
@@ -117,7 +119,7 @@
     const settings = DEFAULT_MEMBERSHIP_SETTINGS;
     const base = { group: 'g', self, settings, clock, random, store, link };
     const runner = new GroupRunner(base);
-    const authority = new GroupAuthority(runner, memberKey(self));
+    const authority = new GroupShareAuthority(runner, memberKey(self));
     const rates = new TeamRates({ clock, link, authority });
     const stopping = new AbortController();
     this.network.attach(id, handlerOf(runner, rates));
@@ -140,11 +142,11 @@
   return {
     answer: (from, req) => {
       const answer = (): PeerResponse => {
-        if (req.type === 'share_sync') return rates.answerSync(from, req.message);
-        if (req.type === 'share_borrow') return rates.answerBorrow(req.team, req.tokens);
-        if (req.type === 'share_nudge') return rates.answerNudge(from, req.teams);
+        if (req.type === 'share_sync') return rates.handleSync(from, req.message);
+        if (req.type === 'share_borrow') return rates.handleBorrow(req.team, req.tokens);
+        if (req.type === 'share_nudge') return rates.handleNudge(from, req.teams);
         if (req.type !== 'membership') return { type: 'ok' };
-        const message = runner.answer(req.message);
+        const message = runner.answerHeartbeat(req.message);
         return message === undefined ? { type: 'ok' } : { type: 'membership', message };
       };
       return Promise.resolve(answer());
--- a/packages/bench/src/slopes/LoopbackGroup.ts
+++ b/packages/bench/src/slopes/LoopbackGroup.ts
@@ -2,7 +2,7 @@
 import { DEFAULT_MEMBERSHIP_SETTINGS, memberKey, type MemberIdentity } from '@camphorvane/group';
 import {
   FleetCredential,
-  GroupAuthority,
+  GroupShareAuthority,
   GroupRunner,
   GrpcPeerLink,
   GrpcPeerServer,
@@ -100,7 +100,7 @@
     const random = new RandomSource(index);
     const settings = { ...DEFAULT_MEMBERSHIP_SETTINGS, urgentHostListMs: 300, staggerMs: 100 };
     const runner = new GroupRunner({ group: 'g', self, settings, clock, random, store, link });
-    const authority = new GroupAuthority(runner, memberKey(self));
+    const authority = new GroupShareAuthority(runner, memberKey(self));
     const rates = new TeamRates({ clock, link, authority });
     const stopping = new AbortController();
     parts.host = { server, link, runner, rates, stopping };
@@ -120,10 +120,10 @@
   from: Parameters<PeerHandler['answer']>[0],
   req: PeerRequest,
 ): PeerResponse {
-  if (req.type === 'share_sync') return host.rates.answerSync(from, req.message);
-  if (req.type === 'share_nudge') return host.rates.answerNudge(from, req.teams);
-  if (req.type === 'share_borrow') return host.rates.answerBorrow(req.team, req.tokens);
+  if (req.type === 'share_sync') return host.rates.handleSync(from, req.message);
+  if (req.type === 'share_nudge') return host.rates.handleNudge(from, req.teams);
+  if (req.type === 'share_borrow') return host.rates.handleBorrow(req.team, req.tokens);
   if (req.type !== 'membership') return { type: 'ok' };
-  const message = host.runner.answer(req.message);
+  const message = host.runner.answerHeartbeat(req.message);
   return message === undefined ? { type: 'ok' } : { type: 'membership', message };
 }
--- a/packages/group/src/membership/GroupMember.ts
+++ b/packages/group/src/membership/GroupMember.ts
@@ -43,8 +43,8 @@
 }
 
 /**
- * State machine of one host in the membership protocol of its group, without I/O. Each step replaces
- * the immutable state, so that the model checker can store it, compare it and branch from it.
+ * State machine of one host in its group's membership protocol, without I/O. Each step replaces the
+ * state, an immutable value, so that the model checker can store it, compare it and branch from it.
  */
 export class GroupMember {
   private current: MemberState;
@@ -269,9 +269,10 @@
   }
 
   /**
-   * Writes a wanted epoch right after a read, on condition of the version read, so that of two hosts
-   * writing the same epoch one gets a conflict. Members that still know a record removed by hand
-   * write it again; otherwise the next host to start would create epoch 1 beside them.
+   * Writes the next epoch right after a read, if one is wanted. The write is conditional on the
+   * version just read, so that of two hosts writing the same epoch one gets a conflict. A record
+   * removed by hand is written again by members that still know it; otherwise the next host to
+   * start would create epoch 1 beside them.
    */
   private writeIfWanted(state: MemberState, expected: number | 'absent', now: Millis): Stepped {
     const { settings, rules } = this;
--- a/packages/peer/src/group/GroupObject.ts
+++ b/packages/peer/src/group/GroupRecordStore.ts
@@ -19,7 +19,7 @@
 const CALL_TIMEOUT_MS = 2_000;
 
 /** Accesses the object of one group in the platform's store, and the platform's host list. */
-export class GroupObject {
+export class GroupRecordStore {
   private readonly store: ObjectStore;
 
   private readonly clock: Clock;
--- a/packages/peer/src/group/GroupRunner.ts
+++ b/packages/peer/src/group/GroupRunner.ts
@@ -15,8 +15,8 @@
 } from '@camphorvane/group';
 import type { ObjectStore } from '@camphorvane/store';
 import type { PeerLink } from '../PeerLink.ts';
-import { GroupObject } from './GroupObject.ts';
-import { PeerTask, type AskEffect } from './PeerTask.ts';
+import { GroupRecordStore } from './GroupRecordStore.ts';
+import { HeartbeatTask, type HeartbeatEffect } from './HeartbeatTask.ts';
 
 const log = debug('camphorvane:group');
 
@@ -66,9 +66,9 @@
 
   private readonly member: GroupMember;
 
-  private readonly object: GroupObject;
+  private readonly object: GroupRecordStore;
 
-  private readonly peers = new Map<string, PeerTask>();
+  private readonly peers = new Map<string, HeartbeatTask>();
 
   private readonly listeners = new Set<GroupListener>();
 
@@ -81,7 +81,7 @@
     this.options = options;
     const settings = { ...options.settings, jitter: options.random.next() };
     this.member = GroupMember.start(options.group, options.self, settings, options.clock.now());
-    this.object = new GroupObject(options.store, options.clock, options.group);
+    this.object = new GroupRecordStore(options.store, options.clock, options.group);
   }
 
   /** Starts the periodic ticks; they end with {@link GroupRunner.stop}. */
@@ -110,12 +110,12 @@
   }
 
   /** Gets the coordinator of a key under the newest known epoch; it may not have taken over yet. */
-  stewardOf(key: string): HostId | undefined {
+  coordinatorOf(key: string): HostId | undefined {
     return this.member.coordinatorOf(key);
   }
 
   /** Tells whether this host may act as the coordinator of a key now. */
-  maySteward(key: string): boolean {
+  mayCoordinate(key: string): boolean {
     return this.member.mayCoordinate(key, this.now());
   }
 
@@ -134,7 +134,7 @@
   }
 
   /** Answers a peer's heartbeat; undefined for one that is malformed or from another group. */
-  answer(message: Hello): Welcome | undefined {
+  answerHeartbeat(message: Hello): Welcome | undefined {
     return parseHello(message).match(
       (hello) => this.step({ type: 'asked', message: hello })[0],
       (problem) => {
@@ -236,11 +236,11 @@
     }
   }
 
-  private peerOf(ask: AskEffect): PeerTask {
+  private peerOf(ask: HeartbeatEffect): HeartbeatTask {
     const key = memberKey(ask.to);
     const known = this.peers.get(key);
     if (known !== undefined) return known;
-    const task = new PeerTask(
+    const task = new HeartbeatTask(
       this.options.link,
       this.options.settings.heartbeatIntervalMs,
       (sent, message) => {
--- a/packages/peer/src/group/PeerTask.ts
+++ b/packages/peer/src/group/HeartbeatTask.ts
@@ -3,10 +3,10 @@
 import type { PeerLink } from '../PeerLink.ts';
 
 /** A heartbeat to one peer. */
-export type AskEffect = Extract<MemberEffect, { type: 'ask' }>;
+export type HeartbeatEffect = Extract<MemberEffect, { type: 'ask' }>;
 
 /** Called with a peer's answer to a heartbeat. */
-export type AnswerListener = (ask: AskEffect, message: Welcome) => void;
+export type AnswerListener = (ask: HeartbeatEffect, message: Welcome) => void;
 
 /**
  * Sends heartbeats to one peer, with at most one in flight.
@@ -14,8 +14,8 @@
  * Heartbeats must not pile up for a hanging peer: while one is in flight only the newest is queued.
  * It keeps its original send time, so that queueing never extends the lease that its answer grants.
  */
-export class PeerTask {
-  private queued?: AskEffect;
+export class HeartbeatTask {
+  private queued?: HeartbeatEffect;
 
   private running = false;
 
@@ -46,7 +46,7 @@
   }
 
   /** Sends a heartbeat, or queues it until the one in flight has ended. */
-  send(ask: AskEffect): void {
+  send(ask: HeartbeatEffect): void {
     this.queued = ask;
     if (!this.running) void this.run();
   }
@@ -61,7 +61,7 @@
     this.running = false;
   }
 
-  private async ask(ask: AskEffect): Promise<void> {
+  private async ask(ask: HeartbeatEffect): Promise<void> {
     const host: HostId = ask.to.host;
     const to = { host, address: ask.to.peerAddress };
     this.sent += 1;
--- a/packages/peer/src/grpc/FleetCredential.ts
+++ b/packages/peer/src/grpc/FleetCredential.ts
@@ -25,7 +25,7 @@
    * @param to - The receiver.
    * @returns An HMAC-SHA256 in hexadecimal.
    */
-  tokenFor(from: PeerIdentity, to: HostId): string {
+  createToken(from: PeerIdentity, to: HostId): string {
     return createHmac('sha256', this.secret)
       .update(JSON.stringify([from.host, from.incarnation, from.protocol, to]))
       .digest('hex');
@@ -39,8 +39,8 @@
    * @param to - The receiver.
    * @returns True where the token matches the identity, the receiver and this fleet's secret.
    */
-  accepts(token: string, from: PeerIdentity, to: HostId): boolean {
-    const expected = Buffer.from(this.tokenFor(from, to));
+  verifyToken(token: string, from: PeerIdentity, to: HostId): boolean {
+    const expected = Buffer.from(this.createToken(from, to));
     const shown = Buffer.from(token);
     return shown.length === expected.length && timingSafeEqual(shown, expected);
   }
--- a/packages/peer/src/grpc/GrpcPeerLink.ts
+++ b/packages/peer/src/grpc/GrpcPeerLink.ts
@@ -4,7 +4,7 @@
 import { PeerClient } from '../generated/peer.ts';
 import type { PeerAddress, PeerError, PeerLink, PeerRequest, PeerResponse } from '../PeerLink.ts';
 import type { FleetCredential } from './FleetCredential.ts';
-import { PeerChannel, type PeerChannelDump, type SilenceVerdict } from './PeerChannel.ts';
+import { PeerChannel, type PeerChannelDump, type ProbeVerdict } from './PeerChannel.ts';
 import type { PeerTls } from './PeerTls.ts';
 import { PEER_METADATA, type PeerIdentity } from './peerProtocol.ts';
 
@@ -30,7 +30,7 @@
   readonly maxInFlight?: number;
   readonly probeTimeoutMs?: Millis;
   /** Called after a call timed out without any sign of life, with the result of the probe. */
-  readonly onVerdict?: (host: HostId, verdict: SilenceVerdict) => void;
+  readonly onVerdict?: (host: HostId, verdict: ProbeVerdict) => void;
 }
 
 interface PeerConnection {
@@ -113,7 +113,7 @@
     metadata.set(PEER_METADATA.protocol, String(self.protocol));
     metadata.set(PEER_METADATA.host, self.host);
     metadata.set(PEER_METADATA.incarnation, self.incarnation);
-    metadata.set(PEER_METADATA.token, credential.tokenFor(self, host));
+    metadata.set(PEER_METADATA.token, credential.createToken(self, host));
     return metadata;
   }
 
--- a/packages/peer/src/grpc/GrpcPeerServer.ts
+++ b/packages/peer/src/grpc/GrpcPeerServer.ts
@@ -17,7 +17,7 @@
 import type { PeerHandler, PeerSender } from '../PeerLink.ts';
 import type { FleetCredential } from './FleetCredential.ts';
 import { MAX_MESSAGE_BYTES } from './GrpcPeerLink.ts';
-import { isProtocolAccepted, PEER_METADATA, type PeerIdentity } from './peerProtocol.ts';
+import { isProtocolCompatible, PEER_METADATA, type PeerIdentity } from './peerProtocol.ts';
 import type { PeerTls } from './PeerTls.ts';
 import { requestFromWire } from './requestMapping.ts';
 import { responseToWire } from './responseMapping.ts';
@@ -178,10 +178,10 @@
       protocol: Number(metadataValue(metadata, PEER_METADATA.protocol)),
     };
     const token = metadataValue(metadata, PEER_METADATA.token);
-    if (!credential.accepts(token, sender, self.host)) {
+    if (!credential.verifyToken(token, sender, self.host)) {
       return { code: status.UNAUTHENTICATED, details: 'not a host of this fleet' };
     }
-    if (isProtocolAccepted(self.protocol, sender.protocol)) return sender;
+    if (isProtocolCompatible(self.protocol, sender.protocol)) return sender;
     const details = `protocol version ${sender.protocol} is incompatible with version ${self.protocol}`;
     return { code: status.FAILED_PRECONDITION, details };
   }
--- a/packages/peer/src/grpc/PeerChannel.ts
+++ b/packages/peer/src/grpc/PeerChannel.ts
@@ -10,7 +10,7 @@
  * The result of probing a peer after a call timed out: the old connection answers, only a new
  * connection answers, or neither does.
  */
-export type SilenceVerdict = 'answers' | 'path_lost' | 'peer_silent';
+export type ProbeVerdict = 'answers' | 'path_lost' | 'peer_silent';
 
 /** Options of a {@link PeerChannel}. */
 export interface PeerChannelOptions {
@@ -21,7 +21,7 @@
   /** Maximum number of calls in flight; further calls are rejected at once. */
   readonly maxInFlight: number;
   readonly probeTimeoutMs: Millis;
-  readonly onVerdict: (verdict: SilenceVerdict) => void;
+  readonly onVerdict: (verdict: ProbeVerdict) => void;
 }
 
 /** The state of one channel, for the state dump. */
@@ -29,7 +29,7 @@
   readonly inFlight: number;
   readonly lastHeardAt: Millis;
   readonly retired: number;
-  readonly lastVerdict: SilenceVerdict | undefined;
+  readonly lastVerdict: ProbeVerdict | undefined;
 }
 
 type Outcome = Result<PeerResponse, PeerError>;
@@ -58,7 +58,7 @@
 
   private closed = false;
 
-  private lastVerdict: SilenceVerdict | undefined;
+  private lastVerdict: ProbeVerdict | undefined;
 
   constructor(options: PeerChannelOptions) {
     this.options = options;
@@ -157,7 +157,7 @@
 
   private report(oldAnswers: boolean, freshAnswers: boolean): void {
     const failure = freshAnswers ? 'path_lost' : 'peer_silent';
-    const verdict: SilenceVerdict = oldAnswers ? 'answers' : failure;
+    const verdict: ProbeVerdict = oldAnswers ? 'answers' : failure;
     this.lastVerdict = verdict;
     this.options.onVerdict(verdict);
   }
--- a/packages/peer/src/grpc/peerProtocol.ts
+++ b/packages/peer/src/grpc/peerProtocol.ts
@@ -11,7 +11,7 @@
  * successive releases run side by side; a wider window would require each release to understand
  * more earlier ones.
  */
-export const PROTOCOL_WINDOW = 1;
+export const MAX_PROTOCOL_VERSION_GAP = 1;
 
 /** Names of the gRPC metadata entries that identify the sender. */
 export const PEER_METADATA = {
@@ -36,6 +36,6 @@
  * @param other - The version of the other host.
  * @returns True where they differ by at most {@link MAX_PROTOCOL_VERSION_GAP}.
  */
-export function isProtocolAccepted(own: number, other: number): boolean {
-  return Number.isInteger(other) && Math.abs(own - other) <= PROTOCOL_WINDOW;
+export function isProtocolCompatible(own: number, other: number): boolean {
+  return Number.isInteger(other) && Math.abs(own - other) <= MAX_PROTOCOL_VERSION_GAP;
 }
--- a/packages/peer/src/hints/HintSocket.ts
+++ b/packages/peer/src/hints/HintSocket.ts
@@ -10,7 +10,7 @@
 /** Sends hints and digests to other hosts and receives theirs, without acknowledgements. */
 export interface HintLink {
   /** Sends a hint to each address (`ip:port`); delivery is not confirmed. */
-  send(hint: HostHint, to: readonly string[]): void;
+  sendHint(hint: HostHint, to: readonly string[]): void;
 
   /** Sends a digest to the address (`ip:port`) of the host that it was built for. */
   sendDigest(digest: HostDigest, to: string): void;
@@ -44,7 +44,7 @@
   }
 
   /** {@inheritDoc HintLink.sendHint} */
-  send(hint: HostHint, to: readonly string[]): void {
+  sendHint(hint: HostHint, to: readonly string[]): void {
     const bytes = encodeHint(hint);
     to.forEach((address) => this.sendBytes(bytes, address));
   }
--- a/packages/peer/src/hints/HostDigest.ts
+++ b/packages/peer/src/hints/HostDigest.ts
@@ -1,20 +1,20 @@
 import type { HostId, Incarnation, ServiceId, TeamId, Tokens, UpstreamId } from '@camphorvane/core';
-import type { DemandHint, DrainedZones, EngineHint, MoveHint } from './hintParts.ts';
+import type { DemandHint, DrainedZones, EngineHint, RoleChangeHint } from './hintParts.ts';
 import {
-  isCharge,
-  isCount,
-  isNames,
+  isNamedNumber,
+  isNonNegativeNumber,
+  isStringArray,
   parseDatagram,
-  readDemand,
-  readDrained,
-  readMove,
-  readRow,
-  readRows,
-  writeDemand,
-  writeDrained,
-  writeMove,
-  writeRow,
-} from './hintRows.ts';
+  decodeDemandHint,
+  decodeDrainedZones,
+  decodeRoleChangeHint,
+  decodeEngineHint,
+  decodeRows,
+  encodeDemandHint,
+  encodeDrainedZones,
+  encodeRoleChangeHint,
+  encodeEngineHint,
+} from './hintRowCodec.ts';
 
 /** First field of a digest's datagram; a hint has the host id there. */
 const DIGEST_TAG = 'digest';
@@ -37,7 +37,7 @@
   /** Increases with each digest of one incarnation. */
   readonly sequence: number;
   /** Number of hosts whose hints are in the sums, without the receiver. */
-  readonly heard: number;
+  readonly hostCount: number;
   /** Work in flight from these hosts on each engine. */
   readonly engines: readonly EngineHint[];
   /** Tokens that these hosts have charged to each team since the relay first received their hints. */
@@ -45,7 +45,7 @@
   /** Demand on these hosts for each pool since the relay first received their hints. */
   readonly demand: readonly DemandHint[];
   /** Role changes that any of these hosts has ordered. */
-  readonly moves: readonly MoveHint[];
+  readonly moves: readonly RoleChangeHint[];
   /** Engines that one of these hosts found unresponsive. */
   readonly down: readonly UpstreamId[];
   /** Calls of these hosts in flight or queued for each plain service. */
@@ -68,27 +68,27 @@
  * @returns The datagram.
  */
 export function encodeDigest(digest: HostDigest): Buffer {
-  const { host, incarnation, sequence, heard, engines, charged, silent, leaving } = digest;
+  const { host, incarnation, sequence, hostCount, engines, charged, silent, leaving } = digest;
   const versions = [digest.versions.config, digest.versions.servers];
-  const rows = engines.map(writeRow);
+  const rows = engines.map(encodeEngineHint);
   return Buffer.from(
     JSON.stringify([
       DIGEST_TAG,
       host,
       incarnation,
       sequence,
-      heard,
+      hostCount,
       rows,
       charged,
       silent,
       leaving,
       versions,
-      digest.demand.map(writeDemand),
-      digest.moves.map(writeMove),
+      digest.demand.map(encodeDemandHint),
+      digest.moves.map(encodeRoleChangeHint),
       digest.down,
       digest.calls,
       digest.serving,
-      writeDrained(digest.drained),
+      encodeDrainedZones(digest.drained),
     ]),
   );
 }
@@ -102,25 +102,28 @@
 export function decodeDigest(bytes: Uint8Array): HostDigest | undefined {
   const fields = parseDatagram(bytes);
   if (fields?.[0] !== DIGEST_TAG) return undefined;
-  const [, host, incarnation, sequence, heard, rows, charged, silent, leaving, versions] = fields;
+  const [, host, incarnation, sequence, hostCount, rows, charged, silent, leaving, versions] =
+    fields;
   const [demandRows, moveRows, down, calls, serving, drainedRow] = fields.slice(DEMAND_INDEX);
   if (typeof host !== 'string' || typeof incarnation !== 'string') return undefined;
-  if (!isCount(sequence) || !isCount(heard) || !Array.isArray(rows)) return undefined;
-  if (!Array.isArray(charged) || !charged.every(isCharge)) return undefined;
-  if (!Array.isArray(calls) || !calls.every(isCharge)) return undefined;
-  if (!isNames(silent) || !isNames(leaving) || !isNames(serving)) return undefined;
-  if (!isNames(down)) return undefined;
+  if (!isNonNegativeNumber(sequence) || !isNonNegativeNumber(hostCount) || !Array.isArray(rows))
+    return undefined;
+  if (!Array.isArray(charged) || !charged.every(isNamedNumber)) return undefined;
+  if (!Array.isArray(calls) || !calls.every(isNamedNumber)) return undefined;
+  if (!isStringArray(silent) || !isStringArray(leaving) || !isStringArray(serving))
+    return undefined;
+  if (!isStringArray(down)) return undefined;
   const [config, servers] = Array.isArray(versions) ? (versions as readonly unknown[]) : [];
-  if (!isCount(config) || !isCount(servers)) return undefined;
-  const drained = readDrained(drainedRow);
+  if (!isNonNegativeNumber(config) || !isNonNegativeNumber(servers)) return undefined;
+  const drained = decodeDrainedZones(drainedRow);
   if (drained === undefined) return undefined;
-  const engines = readRows(rows, readRow);
-  const demandHints = readRows(demandRows, readDemand);
-  const moveHints = readRows(moveRows, readMove);
+  const engines = decodeRows(rows, decodeEngineHint);
+  const demandHints = decodeRows(demandRows, decodeDemandHint);
+  const moveHints = decodeRows(moveRows, decodeRoleChangeHint);
   if (engines === undefined || demandHints === undefined || moveHints === undefined)
     return undefined;
   return {
-    ...{ host, incarnation, sequence, heard, engines, silent, leaving, serving },
+    ...{ host, incarnation, sequence, hostCount, engines, silent, leaving, serving },
     ...{ demand: demandHints, moves: moveHints, down },
     calls: calls as readonly (readonly [ServiceId, number])[],
     charged: charged as readonly (readonly [TeamId, Tokens])[],
--- a/packages/peer/src/hints/HostHint.ts
+++ b/packages/peer/src/hints/HostHint.ts
@@ -8,21 +8,21 @@
   UpstreamId,
 } from '@camphorvane/core';
 import {
-  isCharge,
-  isCount,
-  isNames,
+  isNamedNumber,
+  isNonNegativeNumber,
+  isStringArray,
   parseDatagram,
-  readDemand,
-  readDrained,
-  readMove,
-  readRow,
-  readRows,
-  writeDemand,
-  writeDrained,
-  writeMove,
-  writeRow,
-} from './hintRows.ts';
-import type { DemandHint, DrainedZones, EngineHint, MoveHint } from './hintParts.ts';
+  decodeDemandHint,
+  decodeDrainedZones,
+  decodeRoleChangeHint,
+  decodeEngineHint,
+  decodeRows,
+  encodeDemandHint,
+  encodeDrainedZones,
+  encodeRoleChangeHint,
+  encodeEngineHint,
+} from './hintRowCodec.ts';
+import type { DemandHint, DrainedZones, EngineHint, RoleChangeHint } from './hintParts.ts';
 
 /** Index of the unresponsive engines among the fields; earlier fields are destructured by name. */
 const DOWN_INDEX = 9;
@@ -31,7 +31,7 @@
 const DIGEST_FREQUENCIES = ['none', 'seldom', 'often'] as const;
 
 /** How often a host asks a relay for digests. */
-export type DigestWish = (typeof DIGEST_FREQUENCIES)[number];
+export type DigestFrequency = (typeof DIGEST_FREQUENCIES)[number];
 
 /**
  * The state that a host gossips to its peers several times a second.
@@ -46,7 +46,7 @@
   readonly sequence: number;
   readonly leaving: boolean;
   /** How often the host asks the receiver for digests. */
-  readonly digests: DigestWish;
+  readonly digests: DigestFrequency;
   /** Whether the host accepts callers; otherwise it is on standby. */
   readonly serving: boolean;
   /** Milliseconds within which the host sends its next hint. */
@@ -55,7 +55,7 @@
   /** Tokens charged to each team since the host started. */
   readonly charged: readonly (readonly [TeamId, Tokens])[];
   readonly demand: readonly DemandHint[];
-  readonly moves: readonly MoveHint[];
+  readonly moves: readonly RoleChangeHint[];
   /** Engines that the host found unresponsive. */
   readonly down: readonly UpstreamId[];
   /** Calls of the host in flight or queued for each plain service. */
@@ -72,11 +72,11 @@
  * @returns The datagram.
  */
 export function encodeHint(hint: HostHint): Buffer {
-  const rows = hint.engines.map(writeRow);
+  const rows = hint.engines.map(encodeEngineHint);
   const { host, incarnation, sequence, leaving, charged, versions } = hint;
   const versionRow = [versions.config, versions.servers];
-  const demand = hint.demand.map(writeDemand);
-  const moves = hint.moves.map(writeMove);
+  const demand = hint.demand.map(encodeDemandHint);
+  const moves = hint.moves.map(encodeRoleChangeHint);
   const flags = [Number(leaving), DIGEST_FREQUENCIES.indexOf(hint.digests), Number(hint.serving)];
   const fields = [
     host,
@@ -91,7 +91,7 @@
     hint.down,
     hint.calls,
     Math.round(hint.nextMs),
-    writeDrained(hint.drained),
+    encodeDrainedZones(hint.drained),
   ];
   return Buffer.from(JSON.stringify(fields));
 }
@@ -110,17 +110,18 @@
   const [down, calls, nextMs, drainedRow] = fields.slice(DOWN_INDEX);
   if (typeof host !== 'string' || typeof incarnation !== 'string') return undefined;
   if (typeof sequence !== 'number' || !Array.isArray(rows)) return undefined;
-  if (!Array.isArray(charged) || !charged.every(isCharge)) return undefined;
+  if (!Array.isArray(charged) || !charged.every(isNamedNumber)) return undefined;
   const [config, servers] = Array.isArray(versions) ? (versions as readonly unknown[]) : [];
-  if (!isCount(config) || !isCount(servers)) return undefined;
-  if (!isCount(nextMs)) return undefined;
-  if (!isNames(down) || !Array.isArray(calls) || !calls.every(isCharge)) return undefined;
-  const engines = readRows(rows, readRow);
-  const demandHints = readRows(demandRows, readDemand);
-  const moveHints = readRows(moveRows, readMove);
+  if (!isNonNegativeNumber(config) || !isNonNegativeNumber(servers)) return undefined;
+  if (!isNonNegativeNumber(nextMs)) return undefined;
+  if (!isStringArray(down) || !Array.isArray(calls) || !calls.every(isNamedNumber))
+    return undefined;
+  const engines = decodeRows(rows, decodeEngineHint);
+  const demandHints = decodeRows(demandRows, decodeDemandHint);
+  const moveHints = decodeRows(moveRows, decodeRoleChangeHint);
   if (engines === undefined || demandHints === undefined || moveHints === undefined)
     return undefined;
-  const drained = readDrained(drainedRow);
+  const drained = decodeDrainedZones(drainedRow);
   if (drained === undefined) return undefined;
   const [leaving, digestFrequency, serving] = Array.isArray(flags)
     ? (flags as readonly unknown[])
--- a/packages/peer/src/hints/hintParts.ts
+++ b/packages/peer/src/hints/hintParts.ts
@@ -29,7 +29,7 @@
 }
 
 /** A role change that the host has ordered for an engine. */
-export interface MoveHint {
+export interface RoleChangeHint {
   readonly engine: UpstreamId;
   readonly role: EngineRole;
   /** Milliseconds until peers may use the engine again regardless; 0 where the order was revoked. */
--- a/packages/peer/src/hints/hintRows.ts
+++ b/packages/peer/src/hints/hintRowCodec.ts
@@ -1,19 +1,19 @@
 import type { UpstreamId } from '@camphorvane/core';
-import type { DemandHint, DrainedZones, EngineHint, MoveHint } from './hintParts.ts';
+import type { DemandHint, DrainedZones, EngineHint, RoleChangeHint } from './hintParts.ts';
 
 type EngineRow = readonly [UpstreamId, number, number, number];
 
 /** Encodes an engine's work as a row, which takes a quarter of the bytes of named fields. */
-export function writeRow(one: EngineHint): EngineRow {
+export function encodeEngineHint(one: EngineHint): EngineRow {
   return [one.engine, one.prefillTokens, one.streams, Math.round(one.memoryTokens)];
 }
 
 /** Decodes a row of {@link encodeEngineHint}; undefined where it is malformed. */
-export function readRow(row: unknown): EngineHint | undefined {
+export function decodeEngineHint(row: unknown): EngineHint | undefined {
   if (!Array.isArray(row)) return undefined;
   const [engine, prefillTokens, streams, memoryTokens] = row as readonly unknown[];
   if (typeof engine !== 'string') return undefined;
-  if (![prefillTokens, streams, memoryTokens].every(isCount)) return undefined;
+  if (![prefillTokens, streams, memoryTokens].every(isNonNegativeNumber)) return undefined;
   return {
     engine,
     prefillTokens: prefillTokens as number,
@@ -28,18 +28,18 @@
 type DemandRow = readonly [string, number, number, number, number, number];
 
 /** Encodes the demand on one pool as a row. */
-export function writeDemand(one: DemandHint): DemandRow {
+export function encodeDemandHint(one: DemandHint): DemandRow {
   const { model, requests, promptTokens, onTimeWaiting } = one;
   const memory = [Math.round(one.memoryTokens), Math.round(one.memorySteps)] as const;
   return [model, requests, promptTokens, ...memory, onTimeWaiting];
 }
 
 /** Decodes a row of {@link encodeDemandHint}; undefined where it is malformed. */
-export function readDemand(row: unknown): DemandHint | undefined {
+export function decodeDemandHint(row: unknown): DemandHint | undefined {
   if (!Array.isArray(row)) return undefined;
   const [model, ...counts] = row as readonly unknown[];
   if (typeof model !== 'string' || counts.length !== DEMAND_NUMBER_COUNT) return undefined;
-  if (!counts.every(isCount)) return undefined;
+  if (!counts.every(isNonNegativeNumber)) return undefined;
   const [requests, promptTokens, memoryTokens, memorySteps, onTimeWaiting] = counts;
   return {
     model,
@@ -52,20 +52,24 @@
 }
 
 /** Encodes a role change as a row. */
-export function writeMove({ engine, role, leftMs }: MoveHint): readonly [string, string, number] {
+export function encodeRoleChangeHint({
+  engine,
+  role,
+  leftMs,
+}: RoleChangeHint): readonly [string, string, number] {
   return [engine, role, Math.round(leftMs)];
 }
 
 /** Decodes a row of {@link encodeRoleChangeHint}; undefined where it is malformed. */
-export function readMove(row: unknown): MoveHint | undefined {
+export function decodeRoleChangeHint(row: unknown): RoleChangeHint | undefined {
   if (!Array.isArray(row)) return undefined;
   const [engine, role, leftMs] = row as readonly unknown[];
-  if (typeof engine !== 'string' || !isCount(leftMs)) return undefined;
+  if (typeof engine !== 'string' || !isNonNegativeNumber(leftMs)) return undefined;
   return role === 'prefill' || role === 'decode' ? { engine, role, leftMs } : undefined;
 }
 
 /** Encodes the drained zones as a row. */
-export function writeDrained({ version, zones }: DrainedZones): readonly (number | string)[] {
+export function encodeDrainedZones({ version, zones }: DrainedZones): readonly (number | string)[] {
   return [version, ...zones];
 }
 
@@ -73,15 +77,15 @@
  * Decodes a row of {@link encodeDrainedZones}; undefined where it is malformed. A missing row is
  * valid: hosts of an earlier version, which may run during a rolling update, don't send it.
  */
-export function readDrained(row: unknown): DrainedZones | undefined {
+export function decodeDrainedZones(row: unknown): DrainedZones | undefined {
   if (row === undefined) return { version: 0, zones: [] };
   if (!Array.isArray(row)) return undefined;
   const [version, ...zones] = row as readonly unknown[];
-  return isCount(version) && isNames(zones) ? { version, zones } : undefined;
+  return isNonNegativeNumber(version) && isStringArray(zones) ? { version, zones } : undefined;
 }
 
 /** Decodes a list of rows; undefined where the value is not a list or any row is malformed. */
-export function readRows<T>(
+export function decodeRows<T>(
   rows: unknown,
   read: (row: unknown) => T | undefined,
 ): readonly T[] | undefined {
@@ -92,19 +96,19 @@
 }
 
 /** Tells whether a value is a pair of a name and a number: a team's tokens, or a service's calls. */
-export function isCharge(row: unknown): boolean {
+export function isNamedNumber(row: unknown): boolean {
   if (!Array.isArray(row)) return false;
   const [name, amount] = row as readonly unknown[];
   return typeof name === 'string' && typeof amount === 'number' && Number.isFinite(amount);
 }
 
 /** Tells whether a value is a finite number of at least 0. */
-export function isCount(value: unknown): value is number {
+export function isNonNegativeNumber(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0;
 }
 
 /** Tells whether a value is a list of strings. */
-export function isNames(value: unknown): value is readonly string[] {
+export function isStringArray(value: unknown): value is readonly string[] {
   return Array.isArray(value) && value.every((name) => typeof name === 'string');
 }
 
--- a/packages/peer/src/shares/ChargeQueue.ts
+++ b/packages/peer/src/shares/ChargeQueue.ts
@@ -9,8 +9,8 @@
 } from '@camphorvane/core';
 import type { ShareHolder } from '@camphorvane/group';
 import type { Result } from 'neverthrow';
-import { NO_SHARE_RETRY_MS, noShare, overRate } from './RateMessages.ts';
-import { LONGEST_WAIT_MS, type WaitingCharge, WaitingCharges } from './WaitingCharges.ts';
+import { NO_SHARE_RETRY_MS, noShareRefusal, overRateRefusal } from './rateRefusals.ts';
+import { MAX_CHARGE_WAIT_MS, type WaitingCharge, WaitingCharges } from './WaitingCharges.ts';
 
 /** Time for which a team that lacked tokens on all members is refused without asking them again. */
 const EXHAUSTED_TTL_MS: Millis = 50;
@@ -55,7 +55,7 @@
   }
 
   /** Gets the number of waiting requests of a team. */
-  countOf(team: TeamId): number {
+  countWaiting(team: TeamId): number {
     return this.waiting.get(team)?.count ?? 0;
   }
 
@@ -72,7 +72,7 @@
     this.waiting.set(team, waiting);
     const result = waiting.wait(
       tokens,
-      (run) => this.options.clock.after(LONGEST_WAIT_MS, run),
+      (run) => this.options.clock.after(MAX_CHARGE_WAIT_MS, run),
       () => this.timeoutRefusal(team, tokens, rate),
     );
     void this.syncWhileWaiting(team, waiting);
@@ -107,8 +107,8 @@
 
   private timeoutRefusal(team: TeamId, tokens: Tokens, rate: TeamRate): Refusal {
     const held = this.options.holder.getHeldShare(team, this.now());
-    if (held === undefined || held.share === 0) return noShare(NO_SHARE_RETRY_MS);
-    return overRate(tokens - held.bucket.level, rate);
+    if (held === undefined || held.share === 0) return noShareRefusal(NO_SHARE_RETRY_MS);
+    return overRateRefusal(tokens - held.bucket.level, rate);
   }
 
   /**
@@ -122,7 +122,7 @@
   private async borrowWhileWaiting(team: TeamId, waiting: WaitingCharges): Promise<void> {
     if (waiting.isBorrowing) return;
     waiting.setBorrowing(true);
-    while (waiting.first !== undefined && (await this.borrowFor(team, waiting, waiting.first)));
+    while (waiting.oldest !== undefined && (await this.borrowFor(team, waiting, waiting.oldest)));
     waiting.setBorrowing(false);
   }
 
@@ -146,14 +146,14 @@
     // A host without a share has yet to get the coordinator's reply; the wait has its own timeout.
     if (rate === undefined || lack <= 0 || !this.hasShare(team)) return false;
     this.noteExhausted(team, lack);
-    waiting.turnAway(charge, overRate(lack - borrowed, rate));
+    waiting.refuse(charge, overRateRefusal(lack - borrowed, rate));
     return true;
   }
 
   /** Syncs with the coordinator repeatedly while requests wait; each wait has its own timeout. */
   private async syncWhileWaiting(team: TeamId, waiting: WaitingCharges): Promise<void> {
-    if (waiting.isFetching) return;
-    waiting.startFetching();
+    if (waiting.isSyncing) return;
+    waiting.startSyncing();
     const { clock, holder, signal, syncTeam } = this.options;
     while (waiting.count > 0 && !signal.aborted) {
       holder.markDirty(team, this.now());
--- a/packages/peer/src/shares/StewardTask.ts
+++ b/packages/peer/src/shares/CoordinatorSyncTask.ts
@@ -7,7 +7,7 @@
 const SYNC_TIMEOUT_MS: Millis = 400;
 
 /** Options of a {@link CoordinatorSyncTask}. */
-export interface StewardTaskOptions {
+export interface CoordinatorSyncTaskOptions {
   readonly member: ShareMember;
   readonly clock: Clock;
   readonly link: PeerLink;
@@ -27,14 +27,14 @@
  * Calls made during a sync share the next one, so that a slow coordinator gets one message at a
  * time however many requests wait for it.
  */
-export class StewardTask {
-  private readonly options: StewardTaskOptions;
+export class CoordinatorSyncTask {
+  private readonly options: CoordinatorSyncTaskOptions;
 
   private running: Promise<void> | undefined;
 
   private next: Promise<void> | undefined;
 
-  constructor(options: StewardTaskOptions) {
+  constructor(options: CoordinatorSyncTaskOptions) {
     this.options = options;
   }
 
--- a/packages/peer/src/shares/GroupAuthority.ts
+++ b/packages/peer/src/shares/GroupShareAuthority.ts
@@ -10,21 +10,21 @@
 import type { ShareAuthority, ShareMember } from './ShareAuthority.ts';
 
 /** The part of the group membership that team rates depend on. */
-export interface GroupSource {
+export interface MembershipSource {
   /** Gets the newest group record known to this host. */
   record(): GroupRecord | undefined;
   mayAct(): boolean;
-  maySteward(key: string): boolean;
+  mayCoordinate(key: string): boolean;
 }
 
 /** Gets the key under which a team's coordinator is chosen. */
-export function teamKey(team: TeamId): string {
+export function teamCoordinatorKey(team: TeamId): string {
   return `team:${team}`;
 }
 
 /** Derives the authority of this host over team rates from the group's membership. */
-export class GroupAuthority implements ShareAuthority {
-  private readonly source: GroupSource;
+export class GroupShareAuthority implements ShareAuthority {
+  private readonly source: MembershipSource;
 
   private readonly selfKey: string;
 
@@ -39,7 +39,7 @@
    * @param source - The membership of this host's group.
    * @param selfKey - Member key of this incarnation of this host.
    */
-  constructor(source: GroupSource, selfKey: string) {
+  constructor(source: MembershipSource, selfKey: string) {
     this.source = source;
     this.selfKey = selfKey;
   }
@@ -59,11 +59,11 @@
     }));
   }
 
-  stewardOf(team: TeamId): string | undefined {
+  coordinatorOf(team: TeamId): string | undefined {
     const record = this.record();
     if (record === undefined) return undefined;
     if (!this.coordinatorKeys.has(team)) {
-      const coordinator = chooseCoordinator(teamKey(team), record.members);
+      const coordinator = chooseCoordinator(teamCoordinatorKey(team), record.members);
       this.coordinatorKeys.set(team, coordinator && memberKey(coordinator));
     }
     return this.coordinatorKeys.get(team);
@@ -73,7 +73,7 @@
     return this.source.mayAct();
   }
 
-  memberThroughout(since: number): boolean {
+  isMemberThroughout(since: number): boolean {
     const record = this.record();
     if (record === undefined) return false;
     const isNamed = (members: readonly RecordMember[]): boolean =>
@@ -81,7 +81,7 @@
     return this.everyEpochSince(record, since, isNamed) && isNamed(record.members);
   }
 
-  context(): CoordinatorContext {
+  getCoordinatorContext(): CoordinatorContext {
     const record = this.record();
     const members = record?.members ?? [];
     const staying = members.filter((member) => !member.draining).map(memberKey);
@@ -91,16 +91,16 @@
       possibleHolders: record && this.mayHold(record),
       isHistoryComplete: this.isWholeHistory(members),
       isFirstEpoch: record?.epoch === 1,
-      mayCoordinate: (team) => this.source.maySteward(teamKey(team)),
+      mayCoordinate: (team) => this.source.mayCoordinate(teamCoordinatorKey(team)),
       isCoordinatorThroughout: (team, since) => this.coordinatedThroughout(team, since),
     };
   }
 
   private coordinatedThroughout(team: TeamId, since: number): boolean {
     const record = this.record();
-    if (record === undefined || this.stewardOf(team) !== this.selfKey) return false;
+    if (record === undefined || this.coordinatorOf(team) !== this.selfKey) return false;
     return this.everyEpochSince(record, since, (members) => {
-      const coordinator = chooseCoordinator(teamKey(team), members);
+      const coordinator = chooseCoordinator(teamCoordinatorKey(team), members);
       return coordinator !== undefined && memberKey(coordinator) === this.selfKey;
     });
   }
--- a/packages/peer/src/shares/ShareAuthority.ts
+++ b/packages/peer/src/shares/ShareAuthority.ts
@@ -21,14 +21,14 @@
   members(): readonly ShareMember[];
 
   /** Gets the member key of a team's coordinator under that epoch. */
-  stewardOf(team: TeamId): string | undefined;
+  coordinatorOf(team: TeamId): string | undefined;
 
   /** Tells whether this host may use the shares it was granted. */
   mayAct(): boolean;
 
   /** Tells whether this host was a member in every epoch after the given one. */
-  memberThroughout(since: number): boolean;
+  isMemberThroughout(since: number): boolean;
 
   /** Gets the group state that this host needs to answer as a coordinator. */
-  context(): CoordinatorContext;
+  getCoordinatorContext(): CoordinatorContext;
 }
--- a/packages/peer/src/shares/TeamRateDump.ts
+++ b/packages/peer/src/shares/TeamRateDump.ts
@@ -10,7 +10,7 @@
 }
 
 /** Creates the dump of all teams of which a holder has a share. */
-export function dumpOf(
+export function dumpTeamRates(
   holder: ShareHolder,
   now: Millis,
   waitingOf: (team: TeamId) => number,
--- a/packages/peer/src/shares/TeamRates.ts
+++ b/packages/peer/src/shares/TeamRates.ts
@@ -20,10 +20,15 @@
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 import type { PeerLink, PeerResponse, PeerSender } from '../PeerLink.ts';
 import { ChargeQueue } from './ChargeQueue.ts';
-import { NO_SHARE_RETRY_MS, noShare, overBurst, overRate } from './RateMessages.ts';
+import {
+  NO_SHARE_RETRY_MS,
+  noShareRefusal,
+  overBurstRefusal,
+  overRateRefusal,
+} from './rateRefusals.ts';
 import type { ShareAuthority, ShareMember } from './ShareAuthority.ts';
-import { dumpOf, type TeamRateDump } from './TeamRateDump.ts';
-import { StewardTask } from './StewardTask.ts';
+import { dumpTeamRates, type TeamRateDump } from './TeamRateDump.ts';
+import { CoordinatorSyncTask } from './CoordinatorSyncTask.ts';
 
 /** Tokens taken from a team's rate for one request. */
 export interface Charge {
@@ -58,7 +63,7 @@
 
   private readonly coordinator: ShareCoordinator;
 
-  private readonly tasks = new Map<string, StewardTask>();
+  private readonly tasks = new Map<string, CoordinatorSyncTask>();
 
   private readonly queue: ChargeQueue;
 
@@ -123,15 +128,15 @@
   charge(team: TeamId, tokens: Tokens): ResultAsync<Charge, Refusal> {
     const rate = this.rates.get(team);
     if (rate === undefined || !this.options.authority.mayAct()) {
-      return errAsync(noShare(NO_SHARE_RETRY_MS));
+      return errAsync(noShareRefusal(NO_SHARE_RETRY_MS));
     }
-    if (tokens > rate.burstTokens) return errAsync(overBurst(tokens, rate));
+    if (tokens > rate.burstTokens) return errAsync(overBurstRefusal(tokens, rate));
     const now = this.now();
     this.holder.recordDemand(team, tokens, now);
     const outcome = this.holder.charge(team, tokens, now);
     if (outcome.type === 'charged') return okAsync({ team, tokens });
     const isKnownShort = outcome.type === 'short' && this.queue.isExhausted(team, outcome.lack);
-    if (isKnownShort) return errAsync(overRate(outcome.lack, rate));
+    if (isKnownShort) return errAsync(overRateRefusal(outcome.lack, rate));
     return new ResultAsync(this.queue.wait(team, tokens, rate)).map(() => ({ team, tokens }));
   }
 
@@ -154,19 +159,19 @@
    * @param message - The holder's report.
    * @returns The reply with grants, or `ok` for a duplicate or outdated sync.
    */
-  answerSync(from: PeerSender, message: ShareSync): PeerResponse {
+  handleSync(from: PeerSender, message: ShareSync): PeerResponse {
     const reply = this.answerAsCoordinator(memberKey(from), message);
     return reply === undefined ? { type: 'ok' } : { type: 'share_reply', message: reply };
   }
 
   /** Lends tokens to a request that waits on another host. */
-  answerBorrow(team: TeamId, tokens: Tokens): PeerResponse {
+  handleBorrow(team: TeamId, tokens: Tokens): PeerResponse {
     const lent = this.options.authority.mayAct() ? this.holder.lend(team, tokens, this.now()) : 0;
     return { type: 'share_lent', tokens: lent };
   }
 
   /** Reports the named teams to the coordinator that requested it. */
-  answerNudge(from: PeerSender, teams: readonly TeamId[]): PeerResponse {
+  handleNudge(from: PeerSender, teams: readonly TeamId[]): PeerResponse {
     this.reportTeams(memberKey(from), teams);
     return { type: 'ok' };
   }
@@ -177,7 +182,7 @@
    *
    * @returns A promise that resolves when each sync was answered or has timed out.
    */
-  async handBack(): Promise<void> {
+  async returnShares(): Promise<void> {
     this.holder.handleEpochChange();
     const round = (): Promise<unknown> =>
       Promise.all(this.dueCoordinators().map((member) => this.syncTaskOf(member).sync()));
@@ -188,7 +193,7 @@
   /** Gets the state of each team's rate on this host, for the state dump. */
   dump(): Readonly<Record<TeamId, TeamRateDump>> {
     const now = this.now();
-    return dumpOf(this.holder, now, (team) => this.queue.countOf(team));
+    return dumpTeamRates(this.holder, now, (team) => this.queue.countWaiting(team));
   }
 
   private now(): Millis {
@@ -217,10 +222,10 @@
   private openSomeLedgers(): void {
     const { authority } = this.options;
     const now = this.now();
-    const ctx = authority.context();
+    const ctx = authority.getCoordinatorContext();
     const own = this.uncheckedTeams
       .splice(0, TEAMS_CHECKED_PER_PERIOD)
-      .filter((team) => authority.stewardOf(team) === authority.self());
+      .filter((team) => authority.coordinatorOf(team) === authority.self());
     own.forEach((team) => this.coordinator.ensureTeam(team, ctx, now));
     this.uncheckedTeams.push(...own.filter((team) => !ctx.mayCoordinate(team)));
   }
@@ -230,7 +235,7 @@
     const { authority } = this.options;
     const epoch = authority.epoch();
     if (epoch === this.epoch) return;
-    if (!authority.memberThroughout(this.epoch)) this.holder.dropAll(this.now());
+    if (!authority.isMemberThroughout(this.epoch)) this.holder.dropAll(this.now());
     this.epoch = epoch;
     this.uncheckedTeams = [...this.rates.keys()];
     this.holder.handleEpochChange();
@@ -240,7 +245,9 @@
 
   private dueCoordinators(): readonly ShareMember[] {
     const { authority } = this.options;
-    const changed = new Set([...this.holder.getDirtyTeams()].map((t) => authority.stewardOf(t)));
+    const changed = new Set(
+      [...this.holder.getDirtyTeams()].map((t) => authority.coordinatorOf(t)),
+    );
     const now = this.now();
     return authority.members().filter(({ key }) => {
       const sentAt = this.holder.lastSentAt(key);
@@ -249,10 +256,10 @@
     });
   }
 
-  private syncTaskOf(member: ShareMember): StewardTask {
+  private syncTaskOf(member: ShareMember): CoordinatorSyncTask {
     const known = this.tasks.get(member.key);
     if (known !== undefined) return known;
-    const task = new StewardTask({
+    const task = new CoordinatorSyncTask({
       member,
       clock: this.options.clock,
       link: this.options.link,
@@ -271,13 +278,18 @@
   private message(coordinator: string): ShareSync {
     const { authority } = this.options;
     this.applyEpoch();
-    const lookup = (team: TeamId): string | undefined => authority.stewardOf(team);
+    const lookup = (team: TeamId): string | undefined => authority.coordinatorOf(team);
     return this.holder.createSync(coordinator, this.epoch, lookup, this.now());
   }
 
   private answerAsCoordinator(holder: string, message: ShareSync): ShareReply | undefined {
     const { authority } = this.options;
-    const answer = this.coordinator.handleSync(holder, message, authority.context(), this.now());
+    const answer = this.coordinator.handleSync(
+      holder,
+      message,
+      authority.getCoordinatorContext(),
+      this.now(),
+    );
     answer?.nudges.forEach((nudge) => this.sendNudge(nudge.holder, nudge.teams));
     return answer?.reply;
   }
@@ -300,7 +312,7 @@
   }
 
   private async syncTeam(team: TeamId): Promise<void> {
-    const key = this.options.authority.stewardOf(team);
+    const key = this.options.authority.coordinatorOf(team);
     const member = this.options.authority.members().find((one) => one.key === key);
     if (member !== undefined) await this.syncTaskOf(member).sync();
   }
@@ -329,7 +341,7 @@
   private applyReply(coordinator: string, reply: ShareReply): void {
     const { authority } = this.options;
     const now = this.now();
-    const lookup = (team: TeamId): string | undefined => authority.stewardOf(team);
+    const lookup = (team: TeamId): string | undefined => authority.coordinatorOf(team);
     const grants = this.holder.applyReply(coordinator, reply, lookup, now);
     grants.forEach((grant) => this.queue.serve(grant.team));
     const isUrgent = grants.some((grant) => this.holder.hasUnreportedReturn(grant.team));
--- a/packages/peer/src/shares/WaitingCharges.ts
+++ b/packages/peer/src/shares/WaitingCharges.ts
@@ -9,20 +9,20 @@
 
 /** The requests of one team that wait for tokens. */
 export class WaitingCharges {
-  private fetching = false;
+  private syncing = false;
 
   private borrowing = false;
 
   private waiting: readonly WaitingCharge[] = [];
 
   /** Tells whether a sync loop with the coordinator is running for the team. */
-  get isFetching(): boolean {
-    return this.fetching;
+  get isSyncing(): boolean {
+    return this.syncing;
   }
 
   /** Marks the sync loop as running; it runs as long as requests wait. */
-  startFetching(): void {
-    this.fetching = true;
+  startSyncing(): void {
+    this.syncing = true;
   }
 
   /** Tells whether a borrowing loop is running for the team. */
@@ -31,7 +31,7 @@
   }
 
   /** Gets the request that has waited longest. */
-  get first(): WaitingCharge | undefined {
+  get oldest(): WaitingCharge | undefined {
     return this.waiting[0];
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** Ends the wait of a request with a refusal. */
-  turnAway(charge: WaitingCharge, refusal: Refusal): void {
+  refuse(charge: WaitingCharge, refusal: Refusal): void {
     this.end(charge, err(refusal));
   }
 
@@ -102,4 +102,4 @@
 }
 
 /** Longest time that a request waits for tokens of other hosts. */
-export const LONGEST_WAIT_MS: Millis = 150;
+export const MAX_CHARGE_WAIT_MS: Millis = 150;
--- a/packages/peer/src/shares/index.ts
+++ b/packages/peer/src/shares/index.ts
@@ -1,4 +1,4 @@
-export * from './GroupAuthority.ts';
+export * from './GroupShareAuthority.ts';
 export * from './ShareAuthority.ts';
 export * from './TeamRateDump.ts';
 export * from './TeamRates.ts';
--- a/packages/peer/tests/grpc/GrpcPeerLink.test.ts
+++ b/packages/peer/tests/grpc/GrpcPeerLink.test.ts
@@ -11,7 +11,7 @@
 } from '@camphorvane/peer';
 import { identity, startPair } from '../support/grpcPair.ts';
 import { errorOf, valueOf } from '../support/results.ts';
-import { SilencingRelay } from '../support/SilencingRelay.ts';
+import { BlackholeRelay } from '../support/BlackholeRelay.ts';
 
 const WITHDRAW: PeerRequest = { type: 'withdraw', model: 'm', request: 'r1' };
 
@@ -197,22 +197,22 @@
     verdicts.push(`${host} ${verdict}`);
     notify();
   };
-  let relay: SilencingRelay | undefined;
+  let relay: BlackholeRelay | undefined;
   const pair = await startPair({
     link: { probeTimeoutMs: 300, onVerdict },
     through: (port) => {
-      relay = new SilencingRelay(port);
+      relay = new BlackholeRelay(port);
       return relay.listen();
     },
   });
   assert.ok((await pair.link.ask(pair.to, WITHDRAW, 2000)).isOk());
-  relay?.silence();
+  relay?.dropOpenConnections();
   const first = nextVerdict();
   const lost = await pair.link.ask(pair.to, WITHDRAW, 100);
   await first;
   const after = await pair.link.ask(pair.to, WITHDRAW, 2000);
   const second = nextVerdict();
-  relay?.silenceAll();
+  relay?.dropAllConnections();
   await pair.link.ask(pair.to, WITHDRAW, 100);
   await second;
   relay?.close();
--- a/packages/peer/tests/hints/HostDigest.test.ts
+++ b/packages/peer/tests/hints/HostDigest.test.ts
@@ -8,7 +8,7 @@
   host: 'h',
   incarnation: 'i',
   sequence: 3,
-  heard: 40,
+  hostCount: 40,
   engines: [{ engine: 'e', prefillTokens: 1, streams: 2, memoryTokens: 3 }],
   charged: [['t', 400]],
   demand: [
--- a/packages/peer/tests/measure/membership.ts
+++ b/packages/peer/tests/measure/membership.ts
@@ -1,5 +1,5 @@
 import { RandomSource, type HostId, type Millis } from '@camphorvane/core';
-import { GroupWorld, KEYS } from '../support/GroupWorld.ts';
+import { SimulatedGroup, KEYS } from '../support/SimulatedGroup.ts';
 
 /** Measured group sizes, from the smallest that survives a crash to the largest. */
 const SIZES = [3, 6, 9];
@@ -26,7 +26,7 @@
 
 /** Measures the load of an idle group, per host and second. */
 async function quiet(size: number): Promise<Quiet> {
-  const world = new GroupWorld();
+  const world = new SimulatedGroup();
   await world.startGroup(size);
   const before = { messages: world.messages, bytes: world.bytes, calls: world.platform.calls };
   const cpu = process.cpuUsage();
@@ -42,9 +42,9 @@
 }
 
 /** Measures how long any key has no coordinator after an event. */
-async function timeUnserved(world: GroupWorld, without: HostId): Promise<Millis> {
+async function timeUnserved(world: SimulatedGroup, without: HostId): Promise<Millis> {
   const start = world.clock.now();
-  const isServed = (key: string): boolean => world.stewards(key).some((id) => id !== without);
+  const isServed = (key: string): boolean => world.coordinatorsOf(key).some((id) => id !== without);
   while (!KEYS.every(isServed) && world.clock.now() - start < GIVE_UP_MS) {
     await world.run(STEP_MS, STEP_MS);
   }
@@ -53,11 +53,11 @@
 
 async function trial(size: number, seed: number, kind: 'crash' | 'leave'): Promise<Millis> {
   const random = new RandomSource(seed);
-  const world = new GroupWorld();
+  const world = new SimulatedGroup();
   const ids = await world.startGroup(size);
   await world.clock.advance(random.int(0, 1_000));
   // A host without keys would end the trial at once.
-  const victim = ids.find((id) => KEYS.some((key) => world.runner(id).stewardOf(key) === id));
+  const victim = ids.find((id) => KEYS.some((key) => world.runner(id).coordinatorOf(key) === id));
   if (victim === undefined) throw new Error('no host has a key');
   if (kind === 'crash') world.crash(victim);
   else void world.runner(victim).leave(GIVE_UP_MS);
--- a/packages/peer/tests/shares/TeamRates.test.ts
+++ b/packages/peer/tests/shares/TeamRates.test.ts
@@ -102,11 +102,11 @@
   await fleet.clock.advance(3000);
   const load = { team: 't', hosts: NAMES, tokens: 50, everyMs: 100 };
   await run(fleet, [load], 3000);
-  const crashed = fleet.stewardOf('t');
+  const crashed = fleet.coordinatorOf('t');
   const survivors = NAMES.filter((name) => name !== crashed);
-  fleet.kill(crashed);
+  fleet.crash(crashed);
   const [during] = await run(fleet, [{ ...load, hosts: survivors }], 5800);
-  fleet.change(survivors, 200);
+  fleet.startEpoch(survivors, 200);
   const [after] = await run(fleet, [{ ...load, hosts: survivors }], 12_000);
   const shares = survivors.map((name) => fleet.host(name).rates.dump().t?.share ?? 0);
   assert.deepEqual(during?.codes, []);
@@ -118,7 +118,7 @@
   // A partitioned host is removed from the group; the refusal must say that the request did not run.
   const fleet = RateFleet.start(NAMES, [team('t', 1000, 2000)]);
   await fleet.clock.advance(3000);
-  fleet.change(['a', 'b', 'c'], 0);
+  fleet.startEpoch(['a', 'b', 'c'], 0);
   assert.equal(await chargeOnce(fleet, 'e', 10), 'share_unavailable not_run');
 });
 
--- a/packages/peer/tests/shares/borrowing.test.ts
+++ b/packages/peer/tests/shares/borrowing.test.ts
@@ -8,8 +8,8 @@
   const names = ['a', 'b', 'c', 'd', 'e', 'f'];
   const fleet = RateFleet.start(names, [team('t', 1000, 6000)]);
   await fleet.clock.advance(5000);
-  const crashed = fleet.stewardOf('t');
-  fleet.kill(crashed);
+  const crashed = fleet.coordinatorOf('t');
+  fleet.crash(crashed);
   const host = names.find((name) => name !== crashed) ?? '';
   const charging = fleet.host(host).rates.charge('t', 3000);
   await fleet.clock.advance(200);
--- a/packages/peer/tests/support/SilencingRelay.ts
+++ b/packages/peer/tests/support/BlackholeRelay.ts
@@ -1,7 +1,7 @@
 import net from 'node:net';
 
 /** A TCP relay on loopback that can drop the bytes of its open connections while new ones work. */
-export class SilencingRelay {
+export class BlackholeRelay {
   private readonly server: net.Server;
 
   private readonly sockets = new Set<net.Socket>();
@@ -28,12 +28,12 @@
   }
 
   /** Drops all bytes of the currently open connections, without closing them. */
-  silence(): void {
+  dropOpenConnections(): void {
     this.silenced = new Set(this.sockets);
   }
 
   /** Drops the bytes of all connections, including new ones, as if the peer had crashed. */
-  silenceAll(): void {
+  dropAllConnections(): void {
     this.dropsAll = true;
   }
 
--- a/packages/peer/tests/support/FakePlatform.ts
+++ b/packages/peer/tests/support/FakePlatform.ts
@@ -20,7 +20,7 @@
   down = false;
 
   /** Number of upcoming writes that take effect but whose responses are lost. */
-  lostAnswers = 0;
+  lostResponses = 0;
 
   calls = 0;
 
@@ -41,8 +41,8 @@
     this.version += 1;
     const object = { kind, name, version: this.version, value: structuredClone(value) };
     this.objects.set(`${kind}/${name}`, object);
-    if (this.lostAnswers === 0) return okAsync(object);
-    this.lostAnswers -= 1;
+    if (this.lostResponses === 0) return okAsync(object);
+    this.lostResponses -= 1;
     return errAsync({ type: 'unavailable', message: 'the answer is lost' });
   }
 
--- a/packages/peer/tests/support/RateFleet.ts
+++ b/packages/peer/tests/support/RateFleet.ts
@@ -67,14 +67,14 @@
   }
 
   /** Crashes a host. */
-  kill(name: string): void {
+  crash(name: string): void {
     const host = this.host(name);
     host.alive = false;
     host.rates.stop();
   }
 
   /** Starts the next epoch; coordinators that are new in it may act after a wait. */
-  change(members: readonly string[], waitMs: number): void {
+  startEpoch(members: readonly string[], waitMs: number): void {
     this.epochs.push({ members });
     this.settledAt = this.clock.now() + waitMs;
     members
@@ -83,7 +83,7 @@
   }
 
   /** Gets the coordinator of a team under an epoch, by default the newest. */
-  stewardOf(id: string, epoch = this.epochs.length): string {
+  coordinatorOf(id: string, epoch = this.epochs.length): string {
     return rendezvousFirst(id, this.epochs[epoch - 1]?.members ?? []) ?? '';
   }
 
@@ -103,22 +103,22 @@
   private authority(self: string): ShareAuthority {
     const isMember = (epoch: TestEpoch): boolean => epoch.members.includes(self);
     const throughout = (id: string, since: number): boolean =>
-      this.epochs.every((_, i) => i + 1 <= since || this.stewardOf(id, i + 1) === self);
+      this.epochs.every((_, i) => i + 1 <= since || this.coordinatorOf(id, i + 1) === self);
     return {
       self: () => `${self}/1`,
       epoch: () => this.epochs.length,
       members: () => this.members(),
-      stewardOf: (id) => `${this.stewardOf(id)}/1`,
+      coordinatorOf: (id) => `${this.coordinatorOf(id)}/1`,
       mayAct: () => this.epochs.at(-1)?.members.includes(self) ?? false,
-      memberThroughout: (since) => this.epochs.slice(since).every(isMember),
-      context: () => ({
+      isMemberThroughout: (since) => this.epochs.slice(since).every(isMember),
+      getCoordinatorContext: () => ({
         epoch: this.epochs.length,
         members: this.members().map((member) => member.key),
         possibleHolders: this.mayHold(),
         isHistoryComplete: this.epochs.length === 1,
         isFirstEpoch: this.epochs.length === 1,
         mayCoordinate: (id) =>
-          this.stewardOf(id) === self &&
+          this.coordinatorOf(id) === self &&
           (this.clock.now() >= this.settledAt || throughout(id, this.epochs.length - 1)) &&
           this.epochs.at(-1)?.members.includes(self) === true,
         isCoordinatorThroughout: throughout,
@@ -159,11 +159,11 @@
     const { rates } = this.host(name);
     return {
       answer: (from: PeerSender, req: PeerRequest) => {
-        if (req.type === 'share_sync') return Promise.resolve(rates.answerSync(from, req.message));
+        if (req.type === 'share_sync') return Promise.resolve(rates.handleSync(from, req.message));
         if (req.type === 'share_borrow') {
-          return Promise.resolve(rates.answerBorrow(req.team, req.tokens));
+          return Promise.resolve(rates.handleBorrow(req.team, req.tokens));
         }
-        if (req.type === 'share_nudge') return Promise.resolve(rates.answerNudge(from, req.teams));
+        if (req.type === 'share_nudge') return Promise.resolve(rates.handleNudge(from, req.teams));
         return Promise.resolve({ type: 'ok' });
       },
     };
--- a/packages/peer/tests/support/GroupWorld.ts
+++ b/packages/peer/tests/support/SimulatedGroup.ts
@@ -35,7 +35,7 @@
 }
 
 /** A simulated group of hosts, with a platform and a network into which a test injects failures. */
-export class GroupWorld {
+export class SimulatedGroup {
   readonly clock = new VirtualClock(1_000);
 
   readonly platform = new FakePlatform();
@@ -46,7 +46,7 @@
   readonly processes: RunningHost[] = [];
 
   /** Tells whether the network between two endpoints, a host or `platform` each, is partitioned. */
-  isCut: (from: string, to: string) => boolean = () => false;
+  isPartitioned: (from: string, to: string) => boolean = () => false;
 
   messages = 0;
 
@@ -79,7 +79,7 @@
       settings: this.settings,
       clock,
       random: new RandomSource(this.starts),
-      store: this.platform.storeFor(() => this.isCut(id, 'platform')),
+      store: this.platform.storeFor(() => this.isPartitioned(id, 'platform')),
       link: this.linkOf(id),
     });
     const host = { self, clock, runner, crashed: false };
@@ -133,9 +133,9 @@
   }
 
   /** Gets the hosts that may act as a key's coordinator now. */
-  stewards(key: string): readonly HostId[] {
+  coordinatorsOf(key: string): readonly HostId[] {
     return this.processes
-      .filter((host) => !host.crashed && !host.clock.paused && host.runner.maySteward(key))
+      .filter((host) => !host.crashed && !host.clock.paused && host.runner.mayCoordinate(key))
       .map((host) => host.self.host);
   }
 
@@ -149,7 +149,7 @@
   }
 
   private checkKey(key: string): void {
-    const coordinators = this.stewards(key);
+    const coordinators = this.coordinatorsOf(key);
     if (coordinators.length > 1) {
       throw new Error(`${key} has coordinators ${coordinators.join(', ')} at ${this.clock.now()}`);
     }
@@ -165,14 +165,14 @@
     this.messages += 1;
     this.bytes += JSON.stringify(req).length;
     const target = this.hosts.get(to.host);
-    const isLost = (): boolean => this.isCut(from, to.host) || target?.crashed !== false;
+    const isLost = (): boolean => this.isPartitioned(from, to.host) || target?.crashed !== false;
     await sleep(this.clock, LATENCY_MS);
     if (isLost() || target === undefined) return this.timeout(timeoutMs);
     const answer = await Promise.race([
       new Promise<PeerResponse | undefined>((resolve) => {
         target.clock.whenAwake(() => {
           const isMembership = req.type === 'membership' && !target.crashed;
-          const message = isMembership ? target.runner.answer(req.message) : undefined;
+          const message = isMembership ? target.runner.answerHeartbeat(req.message) : undefined;
           resolve(message === undefined ? undefined : { type: 'membership', message });
         });
       }),
--- a/packages/router/src/coordination/DigestBuilder.ts
+++ b/packages/router/src/coordination/DigestBuilder.ts
@@ -132,7 +132,7 @@
     const own = this.hints.get(receiver)?.hint;
     return {
       ...head,
-      heard: this.hints.size - (own === undefined ? 0 : 1),
+      hostCount: this.hints.size - (own === undefined ? 0 : 1),
       engines: enginesWithout(sums.engines, own),
       charged: this.chargedWithout(receiver),
       demand: this.demandWithout(receiver, sums),
--- a/packages/router/src/coordination/GossipRateGate.ts
+++ b/packages/router/src/coordination/GossipRateGate.ts
@@ -58,8 +58,8 @@
   }
 
   /** Receives the charges of all peers together from a relay. */
-  receiveDigest({ host, incarnation, heard, charged }: HostDigest): void {
-    const digest = { relay: host, incarnation, heard, totals: new Map(charged) };
+  receiveDigest({ host, incarnation, hostCount, charged }: HostDigest): void {
+    const digest = { relay: host, incarnation, heard: hostCount, totals: new Map(charged) };
     this.rates.receiveDigest(digest, this.clock.now());
   }
 
--- a/packages/router/src/coordination/GroupCoordination.ts
+++ b/packages/router/src/coordination/GroupCoordination.ts
@@ -3,7 +3,7 @@
 import { RetryBudget, SlowStart } from '@camphorvane/decisions';
 import { DEFAULT_MEMBERSHIP_SETTINGS, memberKey } from '@camphorvane/group';
 import type { PeerLink, PeerRequest, PeerResponse, PeerSender } from '@camphorvane/peer';
-import { GroupAuthority, GroupRunner, TeamRates } from '@camphorvane/peer';
+import { GroupShareAuthority, GroupRunner, TeamRates } from '@camphorvane/peer';
 import type { HostRegistry, ObjectStore } from '@camphorvane/store';
 import {
   BudgetedStore,
@@ -131,7 +131,7 @@
     this.shares = new TeamRates({
       clock,
       link,
-      authority: new GroupAuthority(this.runner, selfKey),
+      authority: new GroupShareAuthority(this.runner, selfKey),
     });
     this.rates = new OutageRateGate({
       clock,
@@ -180,7 +180,7 @@
 
   /** {@inheritDoc HostCoordination.leave} */
   async leave(): Promise<void> {
-    await this.shares.handBack();
+    await this.shares.returnShares();
     await this.runner.leave(LEAVE_TIMEOUT_MS);
     await this.options.store.deregister(this.context.identity.host);
   }
@@ -200,7 +200,7 @@
   async handlePeerRequest(from: PeerSender, req: PeerRequest): Promise<PeerResponse> {
     switch (req.type) {
       case 'membership': {
-        const message = this.runner.answer(req.message);
+        const message = this.runner.answerHeartbeat(req.message);
         return message === undefined
           ? { type: 'not_steward', epoch: 0 }
           : { type: 'membership', message };
@@ -209,11 +209,11 @@
         this.crashGuard.receiveReports(req.reports);
         return { type: 'ok' };
       case 'share_sync':
-        return this.shares.answerSync(from, req.message);
+        return this.shares.handleSync(from, req.message);
       case 'share_borrow':
-        return this.shares.answerBorrow(req.team, req.tokens);
+        return this.shares.handleBorrow(req.team, req.tokens);
       case 'share_nudge':
-        return this.shares.answerNudge(from, req.teams);
+        return this.shares.handleNudge(from, req.teams);
       case 'config_version':
       case 'config_root':
       case 'config_chunk':
--- a/packages/router/src/coordination/HintReceiver.ts
+++ b/packages/router/src/coordination/HintReceiver.ts
@@ -53,12 +53,12 @@
     config.receiveVersions(digest.versions);
     config.receiveDrainedZones(digest.drained);
     const { inFlight, demand, roleChanges, peerBacklog } = knowledge;
-    inFlight.receiveSum(loadsOf(digest.engines), digest.heard, now);
-    peerBacklog.receiveSum(waitingOf(digest.demand), digest.heard, now);
+    inFlight.receiveSum(loadsOf(digest.engines), digest.hostCount, now);
+    peerBacklog.receiveSum(waitingOf(digest.demand), digest.hostCount, now);
     demand.receiveRelayed(`${digest.host} ${digest.incarnation}`, digest.demand, now);
     roleChanges.receive(digest.moves, now);
     probes.receive(digest.down);
-    calls.receiveSum(new Map(digest.calls), digest.heard, now);
+    calls.receiveSum(new Map(digest.calls), digest.hostCount, now);
   }
 }
 
--- a/packages/router/src/coordination/PeerGossip.ts
+++ b/packages/router/src/coordination/PeerGossip.ts
@@ -108,16 +108,16 @@
     this.logServing();
     const hint = this.buildHint();
     if (!this.timings().isRelayed) {
-      link.send(hint, roster.getPeerAddresses());
+      link.sendHint(hint, roster.getPeerAddresses());
       return;
     }
     const { digestSources, hintOnly } = roster.getHintAddresses(clock.now());
     const isRelayLost = this.isRelayTimedOut();
-    link.send(
+    link.sendHint(
       { ...hint, digests: this.isBusy() ? 'often' : 'seldom' },
       isRelayLost ? [...digestSources, ...hintOnly] : digestSources,
     );
-    if (!isRelayLost) link.send(hint, hintOnly);
+    if (!isRelayLost) link.sendHint(hint, hintOnly);
   }
 
   private async runSendLoop(signal: AbortSignal): Promise<void> {
@@ -201,7 +201,7 @@
     if (!this.acceptsDigest(digest)) return;
     this.relay = {
       host: digest.host,
-      hostCount: digest.heard,
+      hostCount: digest.hostCount,
       receivedAt: this.options.clock.now(),
     };
     this.options.onDigest(digest);
@@ -218,7 +218,7 @@
     const minHosts = isHome
       ? relay.hostCount / RELAY_SWITCH_FACTOR
       : relay.hostCount * RELAY_SWITCH_FACTOR;
-    return digest.heard > minHosts;
+    return digest.hostCount > minHosts;
   }
 
   /** Tells whether the relay has timed out; a single lost digest is no reason to change relays. */
--- a/packages/router/src/host/GroupAdapter.ts
+++ b/packages/router/src/host/GroupAdapter.ts
@@ -42,13 +42,13 @@
 
   /** Gets the peer address of the coordinator of a key, if known. */
   coordinatorOf(key: string): PeerAddress | undefined {
-    const host = this.runner.stewardOf(key);
+    const host = this.runner.coordinatorOf(key);
     return host === undefined ? undefined : this.addressOf(host);
   }
 
   /** Checks whether this host may coordinate a key now. */
   mayCoordinate(key: string): boolean {
-    return this.runner.maySteward(key);
+    return this.runner.mayCoordinate(key);
   }
 
   /** Checks whether this host may use the capacity and rates granted to it. */
--- a/packages/router/tests/coordination/DigestBuilder.test.ts
+++ b/packages/router/tests/coordination/DigestBuilder.test.ts
@@ -43,12 +43,12 @@
   assert.deepEqual(forA.calls, [['s', 5]]);
   assert.deepEqual(forA.down, ['x']);
   assert.deepEqual(forA.leaving, ['c']);
-  assert.equal(forA.heard, 2);
+  assert.equal(forA.hostCount, 2);
   const forB = builder.digestFor('b', sums, HEAD);
   assert.deepEqual(forB.engines, [load('e', 2)]);
   assert.deepEqual(forB.down, ['x', 'y']);
   assert.deepEqual(forB.versions, { config: 7, servers: 2 });
-  assert.equal(builder.digestFor('unknown', sums, HEAD).heard, 3);
+  assert.equal(builder.digestFor('unknown', sums, HEAD).hostCount, 3);
 });
 
 test('a digest counts the requests queued on all hosts but the receiver', () => {
--- a/packages/router/tests/support/GossipFleet.ts
+++ b/packages/router/tests/support/GossipFleet.ts
@@ -124,18 +124,21 @@
       onDigest: (digest) => {
         host.digests.push(digest);
         host.roster.receiveDigest(digest, clock.now());
-        const { heard, incarnation } = digest;
+        const { hostCount, incarnation } = digest;
         const totals = new Map(digest.charged);
-        host.rates.receiveDigest({ relay: digest.host, incarnation, heard, totals }, clock.now());
+        host.rates.receiveDigest(
+          { relay: digest.host, incarnation, heard: hostCount, totals },
+          clock.now(),
+        );
         const loads = digest.engines.map(({ engine, ...use }): [string, InFlightLoad] => [
           engine,
           use,
         ]);
-        host.inFlight.receiveSum(new Map(loads), heard, clock.now());
+        host.inFlight.receiveSum(new Map(loads), hostCount, clock.now());
         const relay = `${digest.host} ${incarnation}`;
         host.demand.receiveRelayed(relay, digest.demand, clock.now());
         host.roleChanges.receive(digest.moves, clock.now());
-        host.peerBacklog.receiveSum(backlogOf(digest.demand), heard, clock.now());
+        host.peerBacklog.receiveSum(backlogOf(digest.demand), hostCount, clock.now());
       },
     });
     Object.assign(host, { recordStateChange: () => gossip.recordStateChange() });
@@ -157,7 +160,7 @@
       });
     };
     return {
-      send: (hint, to) =>
+      sendHint: (hint, to) =>
         to.forEach((address) =>
           deliver(address, JSON.stringify(hint).length, (host) =>
             this.links.get(host.name)?.hint?.(hint),
