--- a/packages/bench/src/slopes/LoopbackGroup.ts
+++ b/packages/bench/src/slopes/LoopbackGroup.ts
@@ -98,7 +98,11 @@
       ...{ peerAddress, callerAddress: peerAddress },
     };
     const random = new RandomSource(index);
-    const settings = { ...DEFAULT_MEMBERSHIP_SETTINGS, urgentHostListMs: 300, staggerMs: 100 };
+    const settings = {
+      ...DEFAULT_MEMBERSHIP_SETTINGS,
+      urgentHostListIntervalMs: 300,
+      writeStaggerMs: 100,
+    };
     const runner = new GroupRunner({ group: 'g', self, settings, clock, random, store, link });
     const authority = new GroupShareAuthority(runner, memberKey(self));
     const rates = new TeamRates({ clock, link, authority });
--- a/packages/group/src/explore/membership/faults.ts
+++ b/packages/group/src/explore/membership/faults.ts
@@ -78,7 +78,7 @@
 export function withIsolation(world: World): World {
   const hosts = world.hosts.map((host, place) => {
     const alone = isIsolated(world, place);
-    return { ...host, aloneSince: alone ? (host.isolatedSince ?? world.tick) : undefined };
+    return { ...host, isolatedSince: alone ? (host.isolatedSince ?? world.tick) : undefined };
   });
   return { ...world, hosts };
 }
--- a/packages/group/src/membership/stateUpdates.ts
+++ b/packages/group/src/membership/stateUpdates.ts
@@ -131,7 +131,7 @@
   const listed = record.members
     .filter((member) => member.listed)
     .reduce((list, member) => withKey(list, memberKey(member)), ended.listed);
-  const next = { ...ended, listed, record, quorumAt: undefined, nextHelloAt: now };
+  const next = { ...ended, listed, record, previousClosedAt: undefined, nextHelloAt: now };
   return withPredecessors(next, record);
 }
 
