--- a/packages/router/src/serving/CompletionAttempt.ts
+++ b/packages/router/src/serving/CompletionAttempt.ts
@@ -24,7 +24,7 @@
 /** Milliseconds without an event after which an engine is probed. */
 const STALL_TIMEOUT_MS: Millis = 1_000;
 
-/** Milliseconds between two searches for a decode engine; capacity frees up every few tens of them. */
+/** Milliseconds between two searches for a decode engine; capacity becomes free every few tens of ms. */
 const CAPACITY_POLL_MS: Millis = 10;
 
 /**
@@ -34,7 +34,7 @@
  * caller that disconnected must not occupy engine memory.
  */
 export class CompletionAttempt {
-  private readonly tools: AttemptDependencies;
+  private readonly deps: AttemptDependencies;
 
   private readonly plan: AttemptPlan;
 
@@ -50,11 +50,11 @@
   private decodeEngine: UpstreamId;
 
   /**
-   * @param tools - Components of the host.
+   * @param deps - Components of the host.
    * @param plan - Input of the attempt.
    */
-  constructor(tools: AttemptDependencies, plan: AttemptPlan) {
-    this.tools = tools;
+  constructor(deps: AttemptDependencies, plan: AttemptPlan) {
+    this.deps = deps;
     this.plan = plan;
     this.decodeEngine = plan.placement.decode;
   }
@@ -106,7 +106,7 @@
     first: ModelEngine,
     prefill: PrefillResult,
   ): AsyncGenerator<AttemptEvent, AttemptOutcome> {
-    const { clock } = this.tools;
+    const { clock } = this.deps;
     const until = clock.now() + KV_FAILOVER_WINDOW_MS;
     let engine = first;
     let outcome = yield* this.decode(engine, prefill);
@@ -129,7 +129,7 @@
     rejectedBy: readonly UpstreamId[],
     until: Millis,
   ): Promise<ModelEngine | undefined> {
-    const { clock, placements } = this.tools;
+    const { clock, placements } = this.deps;
     const next = placements.moveDecode(this.plan.placement.reservation, rejectedBy);
     if (next !== undefined) return this.engine(next);
     if (this.abort.signal.aborted || clock.now() + CAPACITY_POLL_MS >= until) return undefined;
@@ -140,7 +140,7 @@
   private async prefill(
     engine: ModelEngine,
   ): Promise<{ readonly type: 'ran'; readonly result: PrefillResult } | FailedAttempt> {
-    const { clock, metrics, placements, watch } = this.tools;
+    const { clock, metrics, placements, watch } = this.deps;
     const { placement, pool } = this.plan;
     const startedAt = clock.now();
     metrics.count('attempt.dispatched');
@@ -179,7 +179,7 @@
     from: UpstreamId,
   ): Promise<AttemptOutcome | undefined> {
     const { placement } = this.plan;
-    const source = this.tools.directory.getEngine(from);
+    const source = this.deps.directory.getEngine(from);
     const result = await engine.transfer(
       {
         attempt: placement.reservation,
@@ -190,7 +190,7 @@
       this.abort.signal,
     );
     if (result.isOk()) return undefined;
-    this.tools.metrics.count('prefill.wasted_tokens', {}, prefill.promptTokens);
+    this.deps.metrics.count('prefill.wasted_tokens', {}, prefill.promptTokens);
     return this.failed(engine.id, 'transfer', result.error);
   }
 
@@ -222,7 +222,7 @@
         stall.recordProgress();
         if (event.isErr()) {
           if (delivered === 0 && prefill !== undefined) {
-            this.tools.metrics.count('prefill.wasted_tokens', {}, prefill.promptTokens);
+            this.deps.metrics.count('prefill.wasted_tokens', {}, prefill.promptTokens);
           }
           return this.failed(engine.id, 'decode', this.isEngineGone ? engineGone() : event.error);
         }
@@ -258,12 +258,12 @@
   /** Aborts the attempt if its engine disappears, so that another engine can resume the stream. */
   private detectStall(engine: ModelEngine): StallDetector {
     return new StallDetector({
-      clock: this.tools.clock,
+      clock: this.deps.clock,
       silentMs: STALL_TIMEOUT_MS,
       probe: async () => (await engine.load()).isOk(),
       onEngineGone: () => {
         this.isEngineGone = true;
-        this.tools.metrics.count('attempt.engine_gone');
+        this.deps.metrics.count('attempt.engine_gone');
         this.abort.abort();
       },
     });
@@ -272,7 +272,7 @@
   /** The first event of an engine that runs the prefill itself shows that the prefill has ended. */
   private recordPrefillEnd(): void {
     const { pool, placement } = this.plan;
-    this.tools.placements.prefillEnded(pool.model, placement.reservation);
+    this.deps.placements.prefillEnded(pool.model, placement.reservation);
   }
 
   private recordInterval(
@@ -281,11 +281,11 @@
     lastAt: Millis | undefined,
   ): Millis | undefined {
     if (event.type !== 'token' && event.type !== 'piece') return lastAt;
-    const now = this.tools.clock.now();
+    const now = this.deps.clock.now();
     if (lastAt !== undefined) {
       const { pool, placement } = this.plan;
-      this.tools.watch.recordTokenInterval(pool.model, engine, placement.reservation, now - lastAt);
-      this.tools.metrics.timing('request.token_interval', now - lastAt);
+      this.deps.watch.recordTokenInterval(pool.model, engine, placement.reservation, now - lastAt);
+      this.deps.metrics.timing('request.token_interval', now - lastAt);
     }
     return now;
   }
@@ -293,11 +293,11 @@
   private registerReservation(prefillRunning: boolean): void {
     const { placement, identity, pool } = this.plan;
     if (this.isReservationLost) return;
-    this.tools.keeper.track({
+    this.deps.keeper.track({
       model: pool.model,
       onLost: () => {
         this.isReservationLost = true;
-        this.tools.metrics.count('reservation.lost');
+        this.deps.metrics.count('reservation.lost');
         this.abort.abort();
       },
       state: {
@@ -314,13 +314,13 @@
   private cleanUp(outcome: AttemptOutcome | undefined, callerGone: boolean): void {
     const { placement, pool } = this.plan;
     this.abort.abort();
-    this.tools.keeper.untrack(placement.reservation);
+    this.deps.keeper.untrack(placement.reservation);
     if (outcome?.type !== 'done') {
       const { prefill } = placement;
       if (prefill !== undefined) void this.engine(prefill)?.cancel(placement.reservation);
       void this.engine(this.decodeEngine)?.cancel(placement.reservation);
     }
-    void this.tools.placements.release(
+    void this.deps.placements.release(
       pool.model,
       placement.reservation,
       reservationEnd(outcome, callerGone),
@@ -328,7 +328,7 @@
   }
 
   private engine(id: UpstreamId): ModelEngine | undefined {
-    return this.tools.directory.getEngine(id)?.engine;
+    return this.deps.directory.getEngine(id)?.engine;
   }
 
   private failed(
@@ -336,13 +336,13 @@
     stage: 'prefill' | 'transfer' | 'decode',
     error: UpstreamError,
   ): FailedAttempt {
-    this.tools.metrics.count('attempt.failed', { stage, error: error.type });
-    this.tools.placements.attemptFailed(engine, error);
+    this.deps.metrics.count('attempt.failed', { stage, error: error.type });
+    this.deps.placements.attemptFailed(engine, error);
     const { dispatched, message } = error;
     const id = this.plan.identity.request;
     log('attempt_failed', { id, engine, stage, error: error.type, dispatched, message });
     if (error.type === 'unreachable') {
-      this.tools.watch.record(this.plan.pool.model, { type: 'failed', engine, reason: 'down' });
+      this.deps.watch.record(this.plan.pool.model, { type: 'failed', engine, reason: 'down' });
     }
     return { type: 'failed', engine, stage, error };
   }
--- a/packages/router/src/serving/CompletionHandler.ts
+++ b/packages/router/src/serving/CompletionHandler.ts
@@ -33,7 +33,7 @@
 
 /**
  * Longest pause of a stream, in milliseconds, while it resumes at another engine. Clients of the OpenAI
- * API wait for minutes, but people give up sooner.
+ * API wait for minutes, but their users give up sooner.
  */
 const MAX_RESUME_PAUSE_MS: Millis = 15_000;
 
@@ -58,7 +58,7 @@
   readonly crashGuard: CrashGuard;
 }
 
-/** Serves completions: charges the team, reserves engines, runs and resumes attempts, refunds the rest. */
+/** Serves completions: charges the team, reserves engines, runs and resumes attempts, refunds unused tokens. */
 export class CompletionHandler {
   private readonly options: CompletionHandlerOptions;
 
@@ -117,14 +117,14 @@
       completion.policy.fromPosition,
     );
     try {
-      yield* this.attempts(completion, pool, progress);
+      yield* this.runAttempts(completion, pool, progress);
     } finally {
       const used = chargeableTokens(completion, progress, charge);
       this.options.rates.refund(charge, Math.max(0, charge.tokens - used));
     }
   }
 
-  private async *attempts(
+  private async *runAttempts(
     completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
@@ -137,7 +137,7 @@
         yield { type: 'refused', refusal: this.refusalFor(completion, progress, placement.error) };
         return;
       }
-      const outcome = yield* this.attempt(completion, pool, progress, placement.value);
+      const outcome = yield* this.runAttempt(completion, pool, progress, placement.value);
       if (outcome.type !== 'failed') {
         this.options.crashGuard.recordSuccess(progress.digest);
         yield finalEvent(outcome, progress);
@@ -221,7 +221,7 @@
     return plan.reason === 'budget_spent' ? budgetSpent() : enginesFailed();
   }
 
-  private async *attempt(
+  private async *runAttempt(
     completion: ResolvedCompletion,
     pool: PoolConfig,
     progress: CompletionProgress,
--- a/packages/router/src/serving/ConcurrencyShares.ts
+++ b/packages/router/src/serving/ConcurrencyShares.ts
@@ -3,15 +3,15 @@
 
 /**
  * Milliseconds for which a peer's load report counts. Peers gossip every 200 ms, and digests of large
- * fleets arrive up to 700 ms apart; a peer that misses several reports counts as unheard.
+ * fleets arrive up to 700 ms apart; a peer that misses several reports has timed out.
  */
 const REPORT_TTL_MS: Millis = 1_500;
 
 /**
  * Divides the concurrency slots of plain services among the hosts, by the calls that each has.
  *
- * A host uses the count that it last reported for itself too. With its current count it would take more
- * than its share at the start of a burst, before it learns of the burst at the other hosts.
+ * For its own calls, too, a host uses the count that it last reported. With its current count it would take
+ * more than its share at the start of a burst, before it learns of the burst at the other hosts.
  */
 export class ConcurrencyShares {
   private readonly peers = new PeerCounts(REPORT_TTL_MS);
@@ -45,7 +45,7 @@
    * Gets how many calls of a service this host may run at once.
    *
    * @param service - The service.
-   * @param places - Concurrency slots: calls that all servers of the service run at once.
+   * @param concurrency - Concurrency slots: calls that all servers of the service run at once.
    * @param hosts - Number of hosts, this one included.
    * @param now - Present time.
    * @returns Slots, not rounded.
--- a/packages/router/src/serving/CrashGuard.ts
+++ b/packages/router/src/serving/CrashGuard.ts
@@ -28,12 +28,12 @@
 export class CrashGuard {
   private readonly options: CrashGuardOptions;
 
-  private readonly suspicion: CrashSuspects;
+  private readonly suspects: CrashSuspects;
 
   /** @param options - Identity, clock, peers and limits. */
   constructor(options: CrashGuardOptions) {
     this.options = options;
-    this.suspicion = new CrashSuspects(options.suspicion);
+    this.suspects = new CrashSuspects(options.suspicion);
   }
 
   /**
@@ -53,7 +53,7 @@
    * @returns The refusal, or undefined where the request may run.
    */
   refusalFor(digest: string): Refusal | undefined {
-    const quarantineMs = this.suspicion.getBlockedMs(digest, this.options.clock.now());
+    const quarantineMs = this.suspects.getBlockedMs(digest, this.options.clock.now());
     if (quarantineMs === undefined) return undefined;
     const text = 'Several upstreams crashed while running this request; it is quarantined for now.';
     return notRun('suspected_crasher', text, quarantineMs);
@@ -69,23 +69,23 @@
   recordFailure(digest: string, upstream: UpstreamId, error: UpstreamError): void {
     if (error.type !== 'broken') return;
     const report: CrashReport = { digest, upstream, ageMs: 0 };
-    this.suspicion.recordCrash(report, this.options.clock.now());
+    this.suspects.recordCrash(report, this.options.clock.now());
     this.reportToGroup([report]);
   }
 
   /** Clears a request that got a complete answer. */
   recordSuccess(digest: string): void {
-    this.suspicion.clear(digest);
+    this.suspects.clear(digest);
   }
 
   /** Records crashes that other hosts reported. */
   receiveReports(reports: readonly CrashReport[]): void {
-    reports.forEach((report) => this.suspicion.recordCrash(report, this.options.clock.now()));
+    reports.forEach((report) => this.suspects.recordCrash(report, this.options.clock.now()));
   }
 
   /** Gets the number of suspected requests, for the state dump. */
   dump(): object {
-    return { suspected: this.suspicion.size };
+    return { suspected: this.suspects.size };
   }
 
   private reportToGroup(reports: readonly CrashReport[]): void {
--- a/packages/router/src/serving/ForwardHandler.ts
+++ b/packages/router/src/serving/ForwardHandler.ts
@@ -49,7 +49,7 @@
 
 /**
  * Longest wait of a plain call for a server, in multiples of its target. After the first target the call is
- * late, and only gets servers that no call on time waits for.
+ * late, and gets a server only when no call that can still be on time waits for one.
  */
 const CALL_MAX_WAIT_TARGETS = 2;
 
@@ -107,7 +107,7 @@
     this.options = options;
   }
 
-  /** Serves one call, as `ForwardBackend` says; aborting the signal ends it. */
+  /** Serves one call (see `ForwardBackend.forward`); aborting the signal ends it. */
   async *forward(
     id: RequestId,
     req: ForwardRequest,
@@ -158,16 +158,16 @@
     if (target === undefined) {
       return err(notRun('no_capacity', 'The route has no usable target.', UNAVAILABLE_RETRY_MS));
     }
-    const patienceMs = Math.min(route.timeoutMs, req.callerTimeoutMs ?? DEFAULT_CALLER_TIMEOUT_MS);
+    const timeoutMs = Math.min(route.timeoutMs, req.callerTimeoutMs ?? DEFAULT_CALLER_TIMEOUT_MS);
     const now = this.options.clock.now();
-    const deadlineAt = now + patienceMs;
+    const deadlineAt = now + timeoutMs;
     return this.callerOf(route, req).map((caller) => {
       this.options.metrics.count('request.accepted');
       const { name, kind, targetMs, longestPauseMs } = route;
       const { service } = target;
       const slos = { kind, targetMs, longestPauseMs };
       const version = this.version();
-      const ageMs = Math.round(this.callerAges.estimate(name, patienceMs, now));
+      const ageMs = Math.round(this.callerAges.estimate(name, timeoutMs, now));
       log('accepted', { id, route: name, service, team: caller.team.id, ...slos, ageMs, version });
       return { id, req, route, service: target.service, caller, config, deadlineAt, ageMs };
     });
--- a/packages/router/src/serving/RateQueue.ts
+++ b/packages/router/src/serving/RateQueue.ts
@@ -48,10 +48,10 @@
 /**
  * Queues summaries, one FIFO queue a team, until the team's token bucket can pay for them.
  *
- * Guards against refusals in the seconds after a host died with part of a team's tokens: the tokens are
+ * Avoids refusals in the seconds after a host that held part of a team's tokens crashed: the tokens are
  * refilled soon, while a refused summary costs its caller far more time. A request waits no longer than its
- * own bound; one whose turn would come later, as its team sends far more than its rate, is refused at once
- * with a retry-after time. Lookups are never queued, as they would miss their target.
+ * own bound; one that would have to wait longer, because its team sends far more than its rate, is
+ * refused at once with a retry-after time. Lookups are never queued, as they would miss their target.
  */
 export class RateQueue {
   private readonly clock: Clock;
@@ -60,7 +60,7 @@
 
   private readonly queues = new Map<TeamId, TeamQueue>();
 
-  /** Times of the last refused request that does not wait, by team. */
+  /** Time at which a request that is never queued was last refused, by team. */
   private readonly lastRefusalAt = new Map<TeamId, Millis>();
 
   /**
--- a/packages/router/src/serving/ServiceCallHandler.ts
+++ b/packages/router/src/serving/ServiceCallHandler.ts
@@ -249,7 +249,7 @@
     call: ResolvedCall,
     failures: readonly FailedAttempt[],
   ): Promise<AttemptOutcome> {
-    const gateCall: ServiceQueueCall = {
+    const queueCall: ServiceQueueCall = {
       request: `${call.id}.${failures.length}`,
       team: call.caller.team.id,
       class: call.route.class,
@@ -257,14 +257,14 @@
       lateAt: call.policy.lateAt,
       avoid: failures.map((failure) => failure.server),
     };
-    const chosen = await this.options.queues.acquireServer(call.service.id, gateCall, call.signal);
+    const chosen = await this.options.queues.acquireServer(call.service.id, queueCall, call.signal);
     if (chosen.isErr()) return { type: 'refused', refusal: chosen.error };
     if (failures.length === 0) {
       const request = { team: call.caller.team.id, service: call.service.id };
       this.options.retryGate.recordAttempt(request, [chosen.value], this.options.clock.now());
     }
-    const result = await this.dispatch(call, gateCall, chosen.value);
-    this.options.queues.releaseServer(call.service.id, gateCall, chosen.value, hasFailed(result));
+    const result = await this.dispatch(call, queueCall, chosen.value);
+    this.options.queues.releaseServer(call.service.id, queueCall, chosen.value, hasFailed(result));
     this.recordCrash(call, chosen.value, result);
     this.recordReachability(chosen.value, result);
     if (result.isErr()) {
@@ -302,7 +302,7 @@
 
   private dispatch(
     call: ResolvedCall,
-    gateCall: ServiceQueueCall,
+    queueCall: ServiceQueueCall,
     server: UpstreamId,
   ): ResultAsync<UpstreamResponse, UpstreamError> {
     const client = this.options.directory.getServer(server)?.server;
@@ -319,7 +319,7 @@
     const signal = call.route.idempotent ? call.signal : new AbortController().signal;
     return client.call(
       {
-        attempt: gateCall.request,
+        attempt: queueCall.request,
         method: call.req.method,
         path: call.req.path,
         headers: call.req.headers,
--- a/packages/router/src/serving/ServiceQueues.ts
+++ b/packages/router/src/serving/ServiceQueues.ts
@@ -24,9 +24,9 @@
 
 type ServerChoice = Result<UpstreamId, Refusal>;
 
-interface GateEntry {
+interface QueueEntry {
   readonly service: ServiceId;
-  readonly gate: ServiceQueue;
+  readonly queue: ServiceQueue;
   /** Resolvers of the waiting calls. */
   readonly resolvers: Map<RequestId, (choice: ServerChoice) => void>;
   cancelTimer: CancelTimer;
@@ -46,7 +46,7 @@
 
   private readonly slowStart: SlowStart;
 
-  private readonly gates = new Map<ServiceId, GateEntry>();
+  private readonly queues = new Map<ServiceId, QueueEntry>();
 
   /**
    * @param clock - Clock for the waits.
@@ -89,7 +89,7 @@
     const entry = this.entryFor(service);
     return new Promise((resolve) => {
       const withdraw = (): void => {
-        entry.gate.withdraw(call.request);
+        entry.queue.withdraw(call.request);
         this.settle(
           entry,
           call.request,
@@ -106,7 +106,7 @@
         return;
       }
       this.applyShare(entry, this.clock.now());
-      const refusal = entry.gate.submit(call, this.clock.now());
+      const refusal = entry.queue.submit(call, this.clock.now());
       if (refusal === undefined) this.schedule(entry);
       else this.settle(entry, call.request, err(refusal));
     });
@@ -120,30 +120,30 @@
     failed: boolean,
   ): void {
     const entry = this.entryFor(service);
-    entry.gate.callEnded(call.team, server, failed, this.clock.now());
+    entry.queue.callEnded(call.team, server, failed, this.clock.now());
     this.schedule(entry);
   }
 
   /** Applies a changed configuration, or a changed number of hosts, to all services. */
   refresh(): void {
-    this.gates.forEach((entry) => this.schedule(entry));
+    this.queues.forEach((entry) => this.schedule(entry));
   }
 
-  private entryFor(service: ServiceId): GateEntry {
-    const known = this.gates.get(service);
+  private entryFor(service: ServiceId): QueueEntry {
+    const known = this.queues.get(service);
     if (known !== undefined) return known;
-    const entry: GateEntry = {
+    const entry: QueueEntry = {
       service,
-      gate: new ServiceQueue(this.random),
+      queue: new ServiceQueue(this.random),
       resolvers: new Map(),
       cancelTimer: () => undefined,
     };
-    this.gates.set(service, entry);
+    this.queues.set(service, entry);
     return entry;
   }
 
   /** Applies this host's share of the slots, at least one for each server, and gets the share. */
-  private applyShare({ gate, service }: GateEntry, now: Millis): number {
+  private applyShare({ queue, service }: QueueEntry, now: Millis): number {
     const hosts = Math.max(1, this.hostCount());
     const servers = this.directory.getService(service)?.servers ?? [];
     const slots = servers.reduce((sum, { maxConcurrent }) => sum + maxConcurrent, 0);
@@ -154,35 +154,35 @@
       limit: Math.max(1, Math.min(maxConcurrent, Math.ceil(maxConcurrent * ratio))),
       allowance: this.slowStart.allowance(id, now),
     }));
-    gate.reconfigure(limits, Math.max(servers.length, Math.floor(share)));
+    queue.reconfigure(limits, Math.max(servers.length, Math.floor(share)));
     return share;
   }
 
   private countCalls(): ReadonlyMap<ServiceId, number> {
-    return new Map([...this.gates].map(([id, { gate }]) => [id, gate.callCount]));
+    return new Map([...this.queues].map(([id, { queue }]) => [id, queue.callCount]));
   }
 
-  private schedule(entry: GateEntry): void {
+  private schedule(entry: QueueEntry): void {
     entry.cancelTimer();
     const now = this.clock.now();
     const share = this.applyShare(entry, now);
-    entry.gate.step(now).forEach((decision) => this.apply(entry, decision, share));
+    entry.queue.step(now).forEach((decision) => this.apply(entry, decision, share));
     const wake = this.nextWake(entry, now);
     if (wake === undefined) return;
-    // The timer is kept with the calls that it wakes.
+    // Kept in the entry, so that the next pass cancels it.
     Object.assign(entry, {
       cancelTimer: this.clock.after(Math.max(1, wake - now), () => this.schedule(entry)),
     });
   }
 
-  private nextWake({ gate, service }: GateEntry, now: Millis): Millis | undefined {
-    const wake = gate.nextWake();
+  private nextWake({ queue, service }: QueueEntry, now: Millis): Millis | undefined {
+    const wake = queue.nextWake();
     const servers = this.directory.getService(service)?.servers ?? [];
     const isInSlowStart = servers.some(({ id }) => this.slowStart.allowance(id, now) < Infinity);
     return wake !== undefined && isInSlowStart ? Math.min(wake, now + SLOW_START_RECHECK_MS) : wake;
   }
 
-  private apply(entry: GateEntry, decision: ServiceQueueDecision, share: number): void {
+  private apply(entry: QueueEntry, decision: ServiceQueueDecision, share: number): void {
     switch (decision.type) {
       case 'place':
         this.slowStart.recordRequest(decision.server, this.clock.now());
@@ -190,7 +190,7 @@
           id: decision.request,
           server: decision.server,
           waitedMs: Math.round(decision.waitedMs),
-          calls: entry.gate.callCount,
+          calls: entry.queue.callCount,
           share: Math.round(share * 10) / 10,
         });
         this.settle(entry, decision.request, ok(decision.server));
@@ -203,7 +203,7 @@
     }
   }
 
-  private settle(entry: GateEntry, request: RequestId, choice: ServerChoice): void {
+  private settle(entry: QueueEntry, request: RequestId, choice: ServerChoice): void {
     const resolveCall = entry.resolvers.get(request);
     entry.resolvers.delete(request);
     resolveCall?.(choice);
@@ -211,7 +211,7 @@
 
   /** Gets the number of waiting calls by service, for the state dump. */
   dump(): Readonly<Record<ServiceId, number>> {
-    return Object.fromEntries([...this.gates].map(([id, entry]) => [id, entry.gate.queuedCount]));
+    return Object.fromEntries([...this.queues].map(([id, entry]) => [id, entry.queue.queuedCount]));
   }
 }
 
--- a/packages/router/src/serving/attemptEnds.ts
+++ b/packages/router/src/serving/attemptEnds.ts
@@ -3,7 +3,7 @@
 import type { AttemptOutcome } from './completionAttemptPlan.ts';
 
 /**
- * Gets how an attempt ended, as its reservation is released with it.
+ * Gets how an attempt ended, which the release of its reservation reports.
  *
  * @param outcome - The outcome; undefined where the attempt was stopped before it had one.
  * @param callerGone - Whether the caller closed its connection.
--- a/packages/router/src/serving/resolvedCompletion.ts
+++ b/packages/router/src/serving/resolvedCompletion.ts
@@ -24,7 +24,7 @@
 export interface CompletionPolicy {
   /** Most engines that may start to generate output. */
   readonly maxExecutions: number;
-  /** Whether another engine may resume the stream once one may have started it. */
+  /** Whether another engine may resume a stream that a failed engine may have started. */
   readonly resumable: boolean;
   /** Position of the first token to deliver; above 0 where the caller resumes a broken stream. */
   readonly fromPosition: number;
@@ -71,7 +71,7 @@
 /**
  * Tells whether a completion may have been executed, so that a refusal must not say `not_run`.
  *
- * For native text dispatch counts; for a forwarded call only a decode that may have started does.
+ * A native text prompt counts as executed once dispatched, a forwarded call once its decode may have started.
  */
 export function mayHaveExecuted(
   completion: ResolvedCompletion,
@@ -90,7 +90,10 @@
   return error.dispatched && (stage === 'decode' || typeof completion.prompt === 'string');
 }
 
-/** Gets the tokens to charge: prompt and delivered output of native text, all or none of a forwarded call. */
+/**
+ * Gets the tokens to charge: for native text the prompt and the delivered output; for a forwarded call all
+ * tokens charged in advance once an engine may have started it, else none.
+ */
 export function chargeableTokens(
   completion: ResolvedCompletion,
   progress: CompletionProgress,
