--- a/packages/router/src/placing/FallbackPlacer.ts
+++ b/packages/router/src/placing/FallbackPlacer.ts
@@ -11,7 +11,7 @@
 import type { UpstreamDirectory } from '../host/UpstreamDirectory.ts';
 import { PoolCoordinator } from './PoolCoordinator.ts';
 
-/** Milliseconds without a request after which the fallback of a pool is closed, if it holds nothing. */
+/** Milliseconds without a request after which the fallback of a pool is closed, if it is idle. */
 const IDLE_TIMEOUT_MS: Millis = 10_000;
 
 /** Dependencies of {@link FallbackPlacer}. */
--- a/packages/router/src/placing/LocalReservations.ts
+++ b/packages/router/src/placing/LocalReservations.ts
@@ -21,7 +21,7 @@
   private startedCount = 0;
 
   /**
-   * @param knowledge - Receives the use of the engines and the prefill speeds measured.
+   * @param knowledge - Receives the load in flight on the engines and the measured prefill speeds.
    * @param prefix - Prefix of reservation ids, unique to this incarnation of the host.
    */
   constructor(knowledge: EngineKnowledge, prefix: string) {
--- a/packages/router/src/placing/PlacementClient.ts
+++ b/packages/router/src/placing/PlacementClient.ts
@@ -35,7 +35,7 @@
  * Milliseconds for which urgent requests bypass a coordinator that did not answer. Otherwise each lookup
  * would first wait for a timeout of the same host.
  */
-const SILENCE_TTL_MS: Millis = 1_000;
+const UNANSWERED_TTL_MS: Millis = 1_000;
 
 /** Timeout of requests that are answered at once, such as a release, in milliseconds. */
 const SHORT_TIMEOUT_MS: Millis = 1_000;
@@ -169,7 +169,7 @@
 
   /** Asks the coordinator or, for urgent requests while none answers, this host's fallback. */
   private async reserveOnce(model: ModelId, item: WorkItem): Promise<PeerResponse | undefined> {
-    if (isUrgent(item.class) && this.isCoordinatorSilent(model)) {
+    if (isUrgent(item.class) && this.isCoordinatorUnreachable(model)) {
       const placed = await this.options.fallback.reserve(model, item);
       if (placed?.type === 'placed') return placed;
       this.options.fallback.withdraw(model, item.request);
@@ -181,11 +181,11 @@
     return this.options.fallback.reserve(model, item);
   }
 
-  private isCoordinatorSilent(model: ModelId): boolean {
+  private isCoordinatorUnreachable(model: ModelId): boolean {
     const coordinator = this.options.group.coordinatorOf(poolKey(model));
     if (coordinator === undefined) return true;
     const failedAt = this.unansweredAt.get(coordinator.host);
-    return failedAt !== undefined && this.options.clock.now() - failedAt < SILENCE_TTL_MS;
+    return failedAt !== undefined && this.options.clock.now() - failedAt < UNANSWERED_TTL_MS;
   }
 
   private accept(
--- a/packages/router/src/placing/RoleControl.ts
+++ b/packages/router/src/placing/RoleControl.ts
@@ -14,7 +14,7 @@
 
 /**
  * Hosts that decide on roles: the first ones by name. The first acts, and the others take over if it
- * does not; more of them would only spend CPU time on forecasts.
+ * does not; further hosts would only spend CPU time on forecasts.
  */
 const DECIDING_HOSTS = 3;
 
@@ -23,7 +23,7 @@
 
 /**
  * Milliseconds between announcing a role change and ordering it. Peers learn of it within 60 ms, and a
- * prompt in flight by then is read within another 100 ms; the engine refuses requests not yet started.
+ * prefill in flight by then ends within another 100 ms; the engine refuses requests not yet started.
  */
 const ORDER_DELAY_MS: Millis = 200;
 
@@ -60,13 +60,13 @@
   readonly metrics: Metrics;
 }
 
-type MoveDecision = Extract<RoleDecision, { readonly type: 'move' }>;
+type RoleChangeDecision = Extract<RoleDecision, { readonly type: 'move' }>;
 
 /** Result of an order. */
 type OrderOutcome = 'taken' | 'refused' | 'unanswered' | 'unreachable' | 'lease_lost' | 'no_report';
 
 /**
- * Moves engines between the prefill and decode roles according to demand.
+ * Changes the roles of engines between prefill and decode according to demand.
  *
  * Every host knows the demand; a few hosts decide, and the one that holds the lease in the store sends
  * the orders. While the store is unavailable no host does, and the roles stay as they are. All hosts stop
@@ -75,7 +75,7 @@
 export class RoleControl {
   private readonly options: RoleControlOptions;
 
-  private readonly shifters = new Map<ModelId, RoleRebalancer>();
+  private readonly rebalancers = new Map<ModelId, RoleRebalancer>();
 
   /** Last logged decision of each pool; an unchanged decision is not logged again. */
   private readonly lastLogged = new Map<ModelId, string>();
@@ -114,12 +114,12 @@
       now,
     });
     if (view === undefined) return;
-    const decision = this.shifterFor(model).decide(view, now);
+    const decision = this.rebalancerFor(model).decide(view, now);
     this.logDecision(model, view, decision);
-    if (decision.type === 'move') await this.moveEngines(view, decision);
+    if (decision.type === 'move') await this.changeRoles(view, decision);
   }
 
-  private async moveEngines(view: RoleView, { engines, role }: MoveDecision): Promise<void> {
+  private async changeRoles(view: RoleView, { engines, role }: RoleChangeDecision): Promise<void> {
     const { clock, knowledge, lease, announce } = this.options;
     const state = await lease.acquireOrRenew();
     if (state.type === 'not_held') {
@@ -174,12 +174,12 @@
     return state.type === 'held' ? state.fence : undefined;
   }
 
-  private shifterFor(model: ModelId): RoleRebalancer {
-    const known = this.shifters.get(model);
+  private rebalancerFor(model: ModelId): RoleRebalancer {
+    const known = this.rebalancers.get(model);
     if (known !== undefined) return known;
-    const shifter = new RoleRebalancer();
-    this.shifters.set(model, shifter);
-    return shifter;
+    const rebalancer = new RoleRebalancer();
+    this.rebalancers.set(model, rebalancer);
+    return rebalancer;
   }
 
   /** Logs a decision that differs from the last one of the pool. */
--- a/packages/router/src/placing/roleView.ts
+++ b/packages/router/src/placing/roleView.ts
@@ -32,7 +32,7 @@
   if (onTimeMs === undefined || roleSwitchMs === undefined) return undefined;
   const pieces = Math.min(...engines.map(({ memoryPieces }) => memoryPieces));
   return {
-    engines: engines.map((cfg) => toShiftable(cfg, knowledge, now)),
+    engines: engines.map((cfg) => toRoleState(cfg, knowledge, now)),
     buckets: demand.getBuckets(model, now),
     prefillTokensPerMs,
     memoryTokens: pieces * TOKENS_PER_PIECE * MEMORY_FILL_LIMIT,
@@ -43,7 +43,7 @@
   };
 }
 
-function toShiftable(
+function toRoleState(
   { id, zone, role }: EngineConfig,
   { inFlight, health, roleChanges }: EngineKnowledge,
   now: Millis,
