--- a/packages/router/src/host/HostBackend.ts
+++ b/packages/router/src/host/HostBackend.ts
@@ -40,8 +40,8 @@
 
 /**
  * Longest wait of a request for a missing confirmation of keys or membership, in milliseconds. A
- * host that resumes from a process pause has both after one round of calls, so that it need not
- * refuse the first requests.
+ * host that resumes from a process pause has both after one round of calls and need not refuse the
+ * first requests.
  */
 const CONFIRM_WAIT_MS: Millis = 300;
 
@@ -73,7 +73,7 @@
 
   private requestCount = 0;
 
-  /** @param options - What the backend is made of. */
+  /** @param options - Dependencies of the backend. */
   constructor(options: HostBackendOptions) {
     this.options = options;
   }
