--- a/packages/decisions/src/FairPoolScheduler.ts
+++ b/packages/decisions/src/FairPoolScheduler.ts
@@ -33,7 +33,7 @@
 /** Options of a {@link FairPoolScheduler}. */
 export interface FairPoolSchedulerOptions {
   readonly random: RandomSource;
-  /** Prefix of reservation ids, different for each steward; random if absent. */
+  /** Prefix of reservation ids, different for each coordinator; random if absent. */
   readonly reservationPrefix?: string;
   /** Milliseconds after which a reservation expires unless it is renewed. */
   readonly reservationTtlMs?: Millis;
@@ -55,7 +55,7 @@
 /** Most teams of a class whose first request is tried for one placement. */
 const MAX_TEAMS_TRIED = 4;
 
-/** Fraction of the estimated time to the first token that is certainly needed, despite its error. */
+/** Fraction of the estimated time to the first token that is taken as its minimum, as estimates err. */
 const MIN_TTFT_FRACTION = 0.8;
 
 /** Priority passed to engines; lower goes first. */
@@ -106,21 +106,21 @@
   /** Decisions for the next `step` to return. */
   private pendingDecisions: SchedulerDecision[] = [];
 
-  /** When to try requests again for which only a link was busy. */
+  /** When to retry requests that could not be placed only because a link was busy. */
   private linkRetryAt: Millis = Infinity;
 
   /**
-   * @param shape - The pool's configuration.
+   * @param cfg - The pool's configuration.
    * @param opts - Random source and limits.
    */
-  constructor(shape: PoolSchedulerConfig, opts: FairPoolSchedulerOptions) {
-    this.links = new LinkLedger(shape.linkPiecesPerSecond);
-    this.table = new EngineTable(shape, this.memory, this.links, this.cache);
+  constructor(cfg: PoolSchedulerConfig, opts: FairPoolSchedulerOptions) {
+    this.links = new LinkLedger(cfg.linkPiecesPerSecond);
+    this.table = new EngineTable(cfg, this.memory, this.links, this.cache);
     this.chooser = new EngineChooser(this.table, this.links);
     const limits = opts.queueLimits ?? DEFAULT_QUEUE_LIMITS;
     this.admission = new AdmissionControl(this.queue, this.table, this.drainRate, limits);
     this.ttlMs = opts.reservationTtlMs ?? DEFAULT_RESERVATION_TTL_MS;
-    this.ttftTargetMs = shape.ttftTargetMs;
+    this.ttftTargetMs = cfg.ttftTargetMs;
     const prefix = opts.reservationPrefix ?? opts.random.int(0, MAX_RANDOM_PREFIX).toString(36);
     this.reservations = new ReservationTable(this.memory, this.table, prefix);
   }
@@ -169,9 +169,9 @@
     this.table.observe(observation, now);
   }
 
-  reconfigure(shape: PoolSchedulerConfig, _now: Millis): void {
-    this.ttftTargetMs = shape.ttftTargetMs;
-    this.table.reconfigure(shape);
+  reconfigure(cfg: PoolSchedulerConfig, _now: Millis): void {
+    this.ttftTargetMs = cfg.ttftTargetMs;
+    this.table.reconfigure(cfg);
   }
 
   step(now: Millis): readonly SchedulerDecision[] {
@@ -271,8 +271,8 @@
     const head = (name: WorkClass): QueuedWork | undefined => this.queue.find(name, () => true, 1);
     const order = this.classShares.order((name) => head(name)?.cost);
     const queuedClasses = order.filter((name) => this.queue.getSize(name) > 0);
-    // If the first class can't be placed it blocks the others, which would take the capacity that it
-    // waits for. Its requests' longest time in the queue limits this.
+    // A first class that can't be placed blocks the others, which would take the capacity that it waits
+    // for. This ends at the latest when its requests reach their longest time in the queue.
     const [first] = queuedClasses;
     return first !== undefined && this.placeOfClass(first, now);
   }
--- a/packages/decisions/src/PoolScheduler.ts
+++ b/packages/decisions/src/PoolScheduler.ts
@@ -119,8 +119,8 @@
 
 /**
  * Decides which queued request is placed on which engines. It does no I/O: events are passed in by
- * calls, and `step` returns the decisions. The steward of a pool, the host that coordinates it, runs
- * its scheduler.
+ * calls, and `step` returns the decisions. The coordinator of a pool runs its
+ * scheduler.
  */
 export interface PoolScheduler {
   /** Queues a request, or refuses it if it can't be served; `step` returns the refusal. */
@@ -138,14 +138,14 @@
   /** Releases a reservation; unknown ones are ignored, so releases are idempotent. */
   release(reservation: ReservationId, end: ReservationEnd, now: Millis): void;
 
-  /** Adopts a reservation that its holder has from an earlier steward. */
+  /** Adopts a reservation that its holder has from an earlier coordinator. */
   adopt(reservation: AdoptedReservation, now: Millis): void;
 
   /** Applies an observation of an engine. */
   observe(observation: EngineObservation, now: Millis): void;
 
   /** Applies a changed configuration; work on removed engines keeps its reservation. */
-  reconfigure(shape: PoolSchedulerConfig, now: Millis): void;
+  reconfigure(cfg: PoolSchedulerConfig, now: Millis): void;
 
   /** Advances to the present time and gets all new decisions. */
   step(now: Millis): readonly SchedulerDecision[];
@@ -154,7 +154,7 @@
   nextWake(now: Millis): Millis | undefined;
 }
 
-/** A reservation as its holder reports it to a new steward. */
+/** A reservation as its holder reports it to a new coordinator. */
 export interface AdoptedReservation {
   readonly reservation: ReservationId;
   readonly request: RequestId;
--- a/packages/decisions/src/ReservationTable.ts
+++ b/packages/decisions/src/ReservationTable.ts
@@ -31,7 +31,7 @@
   reclaimed: boolean;
 }
 
-/** The live reservations with what each holds, which is freed exactly once. */
+/** Tracks the live reservations, and frees what each of them holds exactly once. */
 export class ReservationTable {
   private readonly entries = new Map<ReservationId, ReservationEntry>();
 
@@ -110,7 +110,7 @@
     return decision;
   }
 
-  /** Adopts a reservation that its holder has from an earlier steward; a known one is left as it is. */
+  /** Adopts a reservation that its holder has from an earlier coordinator; a known one stays as it is. */
   adopt(adopted: AdoptedReservation, expiresAt: Millis): void {
     if (this.entries.has(adopted.reservation)) return;
     const { request, holder, prefill, decode, prefillRunning } = adopted;
--- a/packages/decisions/src/local/InFlightTracker.ts
+++ b/packages/decisions/src/local/InFlightTracker.ts
@@ -25,7 +25,7 @@
 export const NO_LOAD: InFlightLoad = { prefillTokens: 0, streams: 0, memoryTokens: 0 };
 
 /**
- * Shortest lifetime of a peer's report, in milliseconds. A host that is silent for longer is dead,
+ * Shortest lifetime of a peer's report, in milliseconds. A host without a report for longer is dead,
  * partitioned or frozen, and its requests are ending.
  */
 const MIN_REPORT_TTL_MS: Millis = 1_500;
--- a/packages/decisions/src/local/LocalPlacement.ts
+++ b/packages/decisions/src/local/LocalPlacement.ts
@@ -13,7 +13,7 @@
   readonly memoryTokens: Tokens;
   /** Engines on which the request failed. */
   readonly avoid: readonly UpstreamId[];
-  /** Longest pause between the events of a stream of this pool that is on time; absent: any. */
+  /** Longest pause between events of an on-time stream of this pool, in ms; absent if unlimited. */
   readonly longestPauseMs?: Millis;
 }
 
@@ -39,8 +39,8 @@
 const DECODE_PREFILL_COST_MS: Millis = 120;
 
 /**
- * Fraction of the longest allowed pause of a stream that a prefill beside it may take. The rest covers
- * the error of the estimate and the network path to the caller.
+ * Fraction of a stream's longest allowed pause that a prefill on the same engine may take. The rest
+ * covers the error of the estimate and the network path to the caller.
  */
 const PAUSE_BUDGET_FRACTION = 0.9;
 
@@ -48,14 +48,15 @@
 const FULL_ENGINE_COST_MS: Millis = 250;
 
 /**
- * Fraction of the memory of an engine that hosts fill. The rest covers requests that several hosts place
- * at the same moment; an engine that runs out preempts a running stream and prefills it again.
+ * Fraction of the memory of an engine that is allocated to requests. The rest covers requests that
+ * several hosts place at the same moment; an engine that runs out preempts a running stream and prefills
+ * it again.
  */
 export const MEMORY_FILL_LIMIT = 0.95;
 
 /**
- * Hosts from which on the best engine is chosen among a random sample. With digests that are slightly
- * stale, all hosts would otherwise choose the engine that looked emptiest, and overfill it.
+ * Smallest fleet, in hosts, in which the best engine of a random sample is chosen. With slightly stale
+ * digests, all hosts would otherwise choose the engine that looked emptiest, and overfill it.
  */
 const SAMPLING_MIN_HOSTS = 20;
 
@@ -193,8 +194,8 @@
   /**
    * Gets whether a decode engine can do the prefill without making its streams late.
    *
-   * Its streams get one token per prefill chunk, so an event of theirs is delayed by the whole prefill:
-   * one request that starts sooner could make all of them late.
+   * During the prefill, each of its streams gets only one token per prefill chunk, so the next event is
+   * delayed by the whole prefill. Starting one request sooner could make all these streams late.
    */
   private mayPrefill({ cfg, streams }: DecodeOption, req: PlacementRequest): boolean {
     if (streams === 0) return true;
--- a/packages/decisions/src/local/LocalQueue.ts
+++ b/packages/decisions/src/local/LocalQueue.ts
@@ -25,7 +25,7 @@
   readonly rank: number;
 }
 
-/** What a request waits for: memory on a decode engine, a free prefill engine, or requests before it. */
+/** What a request waits for: memory (`room`), a free prefill engine (`reading`) or earlier requests. */
 export type WaitReason = 'room' | 'reading' | 'turn';
 
 /** A decision of the queue on one request. */
@@ -40,9 +40,9 @@
   | { readonly type: 'refuse'; readonly request: RequestId; readonly refusal: Refusal };
 
 /**
- * Longest expected prefill time of a request that is dispatched, in milliseconds. Longer backlogs wait
- * here: at an engine an urgent request could not pass them, and abandoned prompts would still be
- * prefilled.
+ * Longest expected prefill time of a request that is dispatched, in milliseconds. Others stay queued
+ * here: on an engine, urgent requests could not overtake them, and prompts whose callers have left would
+ * still be prefilled.
  */
 const MAX_PREFILL_MS: Millis = 350;
 
@@ -51,8 +51,8 @@
 
 /**
  * Fraction of its time to the target for which the request with the largest footprint yields to others.
- * In the rest it can find room, so that under overload large requests are served less often, but are not
- * starved.
+ * In the remaining time it yields no more, so that under overload large requests are served less often,
+ * but are not starved.
  */
 const YIELD_FRACTION = 0.8;
 
@@ -71,7 +71,8 @@
  * The most urgent request of the team with the fewest running requests goes first, so that the burst of
  * one team delays mostly that team. A request that is already late yields to all that can still meet their
  * target, also to those on other hosts; in order of arrival, one burst would make every request late for
- * as long as it lasts. Late requests use capacity that nobody else wants, until their callers would leave.
+ * as long as it lasts. Late requests get only capacity that no other request needs, until their callers
+ * give up.
  *
  * Among requests on time, those with a small memory footprint go first: the memory of one long answer
  * serves several short ones in the same time. How long a request yields depends on how many of the waiting
@@ -187,7 +188,10 @@
     });
   }
 
-  /** A prompt that exceeds the bound even on an idle engine is not held back for its size. */
+  /**
+   * Gets the longest expected prefill time with which a request is dispatched. For a late request or a
+   * long prompt, it is the time on an idle engine plus a margin.
+   */
   private maxPrefillMs(req: QueuedRequest, pair: EnginePair, now: Millis): Millis {
     const idleMs = this.placement.idlePrefillMs(req, pair) + LATE_PREFILL_MARGIN_MS;
     return now >= req.lateAt ? idleMs : Math.max(MAX_PREFILL_MS, idleMs);
--- a/packages/decisions/src/local/SlowStart.ts
+++ b/packages/decisions/src/local/SlowStart.ts
@@ -3,7 +3,7 @@
 /**
  * Window in which a host may use its quota of one second once, in milliseconds. A request can reach the
  * upstream some hundred milliseconds after it was counted, once its prompt is prefilled or its connection
- * is established; counted this far apart, requests still arrive more than a second apart.
+ * is established; in this window, the requests of two quotas still arrive more than a second apart.
  */
 const QUOTA_WINDOW_MS: Millis = 1_500;
 
@@ -62,7 +62,7 @@
    * Records that an upstream has started.
    *
    * @param upstream - The upstream.
-   * @param leftMs - Milliseconds for which it goes on starting; undefined where it did not report any.
+   * @param leftMs - Milliseconds until it has started up; undefined where it did not report any.
    * @param now - Present time.
    */
   recordStart(upstream: UpstreamId, leftMs: Millis | undefined, now: Millis): void {
--- a/packages/decisions/src/local/gossipTimings.ts
+++ b/packages/decisions/src/local/gossipTimings.ts
@@ -134,7 +134,7 @@
   return Math.min(max, Math.max(min, ms));
 }
 
-/** Gets how often each of some hosts may act so that all together reach a rate. */
+/** Gets the interval at which each host acts so that all hosts together reach a rate. */
 function intervalMs(hosts: number, perSecond: number): Millis {
   return (hosts / perSecond) * MS_PER_SECOND;
 }
--- a/packages/decisions/src/local/meanMemoryTokens.ts
+++ b/packages/decisions/src/local/meanMemoryTokens.ts
@@ -1,7 +1,7 @@
 import type { Tokens } from '@camphorvane/core';
 import type { WorkItem } from '../PoolScheduler.ts';
 
-/** Fraction of its output that a running request holds, with a margin for outputs that grow together. */
+/** Mean fraction of its output that a running request holds; above a half, as outputs may grow together. */
 const MEAN_OUTPUT_FRACTION = 0.75;
 
 /**
--- a/packages/decisions/src/place/EngineTable.ts
+++ b/packages/decisions/src/place/EngineTable.ts
@@ -22,27 +22,27 @@
   private readonly pauses = new IndexedHeap<UpstreamId>();
 
   constructor(
-    shape: PoolSchedulerConfig,
+    poolCfg: PoolSchedulerConfig,
     private readonly memory: MemoryLedger,
     private readonly links: LinkLedger,
     private readonly cache: PrefixCacheIndex,
   ) {
-    this.decode = new DecodeBalancer(memory, shape.itlTargetMs);
+    this.decode = new DecodeBalancer(memory, poolCfg.itlTargetMs);
     this.prefill = new PrefillBalancer(cache);
-    this.reconfigure(shape);
+    this.reconfigure(poolCfg);
   }
 
   /** Memory of the largest decode engine, in pieces: the largest request that the pool can hold. */
   maxDecodeMemoryPieces = 0;
 
   /** Applies a changed pool; an engine that changed its role keeps its running requests. */
-  reconfigure(shape: PoolSchedulerConfig): void {
-    const ids = new Set(shape.engines.map((cfg) => cfg.id));
+  reconfigure(poolCfg: PoolSchedulerConfig): void {
+    const ids = new Set(poolCfg.engines.map((cfg) => cfg.id));
     [...this.engines.keys()].filter((id) => !ids.has(id)).forEach((id) => this.remove(id));
-    this.decode.setItlTarget(shape.itlTargetMs);
-    this.links.setBandwidth(shape.linkPiecesPerSecond);
-    shape.engines.forEach((cfg) => this.put(cfg));
-    this.maxDecodeMemoryPieces = shape.engines
+    this.decode.setItlTarget(poolCfg.itlTargetMs);
+    this.links.setBandwidth(poolCfg.linkPiecesPerSecond);
+    poolCfg.engines.forEach((cfg) => this.put(cfg));
+    this.maxDecodeMemoryPieces = poolCfg.engines
       .filter((cfg) => cfg.role === 'decode')
       .reduce((most, cfg) => Math.max(most, cfg.memoryPieces), 0);
   }
--- a/packages/decisions/src/queue/RequestAgeEstimator.ts
+++ b/packages/decisions/src/queue/RequestAgeEstimator.ts
@@ -6,7 +6,7 @@
  */
 const RETRY_THRESHOLD = 0.8;
 
-/** Window for the longest time left, in milliseconds; it counts for one to two windows. */
+/** Window of the longest time left, in milliseconds; each value counts for one to two windows. */
 const WINDOW_MS: Millis = 30_000;
 
 interface TimeLeftWindow {
@@ -31,7 +31,7 @@
    * @param route - The route; only requests of the same route are compared.
    * @param leftMs - Milliseconds that the caller will still wait.
    * @param now - Present time.
-   * @returns Milliseconds since the caller first sent the request; 0 for what seems to be a first try.
+   * @returns Milliseconds since the caller first sent the request; 0 for an apparent first attempt.
    */
   estimate(route: string, leftMs: Millis, now: Millis): Millis {
     const current = this.windowAt(route, now);
--- a/packages/decisions/src/rates/DistributedRateLimiter.ts
+++ b/packages/decisions/src/rates/DistributedRateLimiter.ts
@@ -35,9 +35,9 @@
   readonly level: number;
 }
 
-/** Keys of the two groups of peers under relayed gossip: those that the relay hears, and the rest. */
-const HEARD_GROUP = 'heard by a relay';
-const SILENT_GROUP = 'not heard by a relay';
+/** Keys of the two groups of peers under relayed gossip: those in the relay's digest, and the others. */
+const DIGEST_GROUP = 'in the digest';
+const MISSING_GROUP = 'not in the digest';
 
 /**
  * Rate limits of teams, enforced by all hosts together through gossip of what each has charged.
@@ -47,9 +47,10 @@
  * peer's charges are extrapolated at its recent rate, which its next message corrects. Charges beyond
  * the extrapolation are covered by the tolerance and made up for later, as the level goes below zero.
  *
- * A silent peer has failed, or is partitioned and still serves callers; the two look the same. It is
- * assumed to use an equal share of the rate and of the burst, and it uses no more, since it hears
- * nobody either. So hosts that lost contact can't exceed a rate together, whatever the store does.
+ * A peer that has timed out has failed, or is partitioned and still serves callers; the two look the
+ * same. It is assumed to use an equal share of the rate and of the burst, and it uses no more, since its
+ * own peers have timed out too. So hosts that lost contact can't exceed a rate together, even while the
+ * store is down.
  */
 export class DistributedRateLimiter {
   private readonly tolerance: RateTolerance;
@@ -65,7 +66,7 @@
   /** Charges of all other hosts, host by host or, under relayed gossip, as two groups. */
   private readonly peers = new Map<HostId, PeerCharges>();
 
-  private sharers: readonly HostId[] = [];
+  private peerHosts: readonly HostId[] = [];
 
   private updatedAt: Millis = 0;
 
@@ -92,25 +93,27 @@
   /** Sets the other hosts that share the rates. */
   setSharers(hosts: readonly HostId[], now: Millis): void {
     this.advance(now);
-    this.sharers = hosts;
-    const heardGroup = this.peers.get(HEARD_GROUP);
-    if (heardGroup === undefined) this.trackHosts();
-    else this.trackGroups(heardGroup);
+    this.peerHosts = hosts;
+    const digestGroup = this.peers.get(DIGEST_GROUP);
+    if (digestGroup === undefined) this.trackHosts();
+    else this.trackGroups(digestGroup);
   }
 
   /** Applies a relay's digest of all peers' charges; it replaces the peers' own reports. */
   receiveDigest({ relay, incarnation, heard, totals }: RelayDigest, now: Millis): void {
     this.advance(now);
-    const known = this.peers.get(HEARD_GROUP);
+    const known = this.peers.get(DIGEST_GROUP);
     const source = `${relay} ${incarnation}`;
-    const previous = known !== undefined && !this.isSilent(known, now) ? known : undefined;
-    // Totals of another relay count from another start, so their difference says nothing.
+    const previous = known !== undefined && !this.isTimedOut(known, now) ? known : undefined;
+    // Another relay's totals count from a different time, so the difference has no meaning.
     const isContinuous = previous?.incarnation === source;
     if (previous !== undefined && isContinuous) this.reconcile(previous, totals);
-    const lastPaces = previous?.chargeRates ?? this.equalShares(heard);
+    const previousRates = previous?.chargeRates ?? this.equalShares(heard);
     const chargeRates =
-      previous !== undefined && isContinuous ? this.measureRates(previous, totals, now) : lastPaces;
-    const hostCount = Math.min(heard, this.sharers.length);
+      previous !== undefined && isContinuous
+        ? this.measureRates(previous, totals, now)
+        : previousRates;
+    const hostCount = Math.min(heard, this.peerHosts.length);
     const assumed = new Map<TeamId, Tokens>();
     this.trackGroups({
       hostCount,
@@ -137,13 +140,13 @@
     now: Millis,
   ): void {
     this.advance(now);
-    if (this.peers.has(HEARD_GROUP)) this.trackHosts();
+    if (this.peers.has(DIGEST_GROUP)) this.trackHosts();
     const known = this.peers.get(host);
     if (known === undefined) return;
     const isSameStart = known.incarnation === incarnation;
     const merged = new Map([...(isSameStart ? known.totals : []), ...totals]);
-    // Charges of a peer while it was silent are covered by the equal share assumed for it.
-    const isContinuous = isSameStart && !this.isSilent(known, now);
+    // Charges of a peer while it was timed out are covered by the equal share assumed for it.
+    const isContinuous = isSameStart && !this.isTimedOut(known, now);
     if (isContinuous) this.reconcile(known, merged);
     const chargeRates = isContinuous ? this.measureRates(known, merged, now) : this.equalShares(1);
     const assumed = new Map<TeamId, Tokens>();
@@ -191,10 +194,13 @@
     return this.totals;
   }
 
-  /** Gets a team's bucket level and the number of silent peers, for the log. */
+  /** Gets a team's bucket level and the number of timed-out peers, for the log. */
   inspect(team: TeamId, now: Millis): { readonly level: Tokens; readonly silentPeers: number } {
     this.advance(now);
-    return { level: this.buckets.get(team)?.level ?? Infinity, silentPeers: this.countSilent(now) };
+    return {
+      level: this.buckets.get(team)?.level ?? Infinity,
+      silentPeers: this.countTimedOut(now),
+    };
   }
 
   /** Gets the level of each team's bucket, for the state dump. */
@@ -240,20 +246,23 @@
   private trackHosts(): void {
     const known = new Map(this.peers);
     this.peers.clear();
-    this.sharers.forEach((host) => this.peers.set(host, known.get(host) ?? UNKNOWN_PEER));
+    this.peerHosts.forEach((host) => this.peers.set(host, known.get(host) ?? UNKNOWN_PEER));
   }
 
-  /** Tracks the peers that the relay hears as one group, and the rest as a silent one. */
-  private trackGroups(heard: PeerCharges): void {
-    const hostCount = Math.min(heard.hostCount, this.sharers.length);
+  /** Tracks the peers in the relay's digest as one group, and the others as one that has timed out. */
+  private trackGroups(inDigest: PeerCharges): void {
+    const hostCount = Math.min(inDigest.hostCount, this.peerHosts.length);
     this.peers.clear();
-    this.peers.set(HEARD_GROUP, { ...heard, hostCount });
-    this.peers.set(SILENT_GROUP, { ...UNKNOWN_PEER, hostCount: this.sharers.length - hostCount });
+    this.peers.set(DIGEST_GROUP, { ...inDigest, hostCount });
+    this.peers.set(MISSING_GROUP, {
+      ...UNKNOWN_PEER,
+      hostCount: this.peerHosts.length - hostCount,
+    });
   }
 
   private extrapolate(host: HostId, peer: PeerCharges, elapsedMs: Millis, now: Millis): void {
-    const paces = this.isSilent(peer, now) ? this.equalShares(peer.hostCount) : peer.chargeRates;
-    const expected = [...paces].map(([team, perMs]) => [team, perMs * elapsedMs] as const);
+    const rates = this.isTimedOut(peer, now) ? this.equalShares(peer.hostCount) : peer.chargeRates;
+    const expected = [...rates].map(([team, perMs]) => [team, perMs * elapsedMs] as const);
     expected.forEach(([team, tokens]) => this.deduct(team, tokens));
     const assumed = expected.map(
       ([team, tokens]) => [team, tokens + (peer.assumed.get(team) ?? 0)] as const,
@@ -300,25 +309,25 @@
     );
   }
 
-  /** Gets the fraction of each burst that is not reserved for silent peers. */
+  /** Gets the fraction of each burst that is not reserved for timed-out peers. */
   private ownShare(now: Millis): number {
-    return 1 - this.countSilent(now) / this.hostCount();
+    return 1 - this.countTimedOut(now) / this.hostCount();
   }
 
-  private countSilent(now: Millis): number {
+  private countTimedOut(now: Millis): number {
     return [...this.peers.values()]
-      .filter((peer) => this.isSilent(peer, now))
+      .filter((peer) => this.isTimedOut(peer, now))
       .reduce((sum, peer) => sum + peer.hostCount, 0);
   }
 
-  /** Tells whether a peer is silent; the timeout allows for two lost gossip messages. */
-  private isSilent({ receivedAt }: PeerCharges, now: Millis): boolean {
+  /** Tells whether a peer has timed out; the timeout allows for two lost gossip messages. */
+  private isTimedOut({ receivedAt }: PeerCharges, now: Millis): boolean {
     const { silentMs } = gossipTimings(this.hostCount());
     return receivedAt === undefined || now - receivedAt > silentMs;
   }
 
   private hostCount(): number {
-    return this.sharers.length + 1;
+    return this.peerHosts.length + 1;
   }
 
   private limitsOf(rate: TeamRate): Pick<Bucket, 'perMs' | 'capacity'> {
--- a/packages/decisions/src/rates/peerCharges.ts
+++ b/packages/decisions/src/rates/peerCharges.ts
@@ -1,13 +1,13 @@
 import type { HostId, Incarnation, Millis, TeamId, Tokens } from '@camphorvane/core';
 
-/** A relay's digest of the charges of all peers that it hears. */
+/** A relay's digest of the charges of all peers from which it receives hints. */
 export interface RelayDigest {
   /** The host that relays gossip. */
   readonly relay: HostId;
   readonly incarnation: Incarnation;
   /** Number of peers whose charges are in the totals. */
   readonly heard: number;
-  /** Tokens by team that these peers have charged since the relay first heard each of them. */
+  /** Tokens by team that these peers have charged since the relay received the first hint of each. */
   readonly totals: ReadonlyMap<TeamId, Tokens>;
 }
 
@@ -15,7 +15,7 @@
 export interface PeerCharges {
   /** Number of hosts in the group; 1 for a single peer. */
   readonly hostCount: number;
-  /** Start from which the totals count; undefined if none were received. */
+  /** Incarnation from whose start the totals count; undefined if none were received. */
   readonly incarnation: Incarnation | undefined;
   /** Time of the last report; undefined if there was none. */
   readonly receivedAt: Millis | undefined;
--- a/packages/decisions/src/retry/ResumePlan.ts
+++ b/packages/decisions/src/retry/ResumePlan.ts
@@ -48,7 +48,7 @@
       readonly reason: 'not_idempotent' | 'complete' | 'too_late' | 'budget_spent';
     };
 
-/** Least time left before an eviction to start an export: half a hop's jitter each way. */
+/** Least time left before an eviction to start an export, in ms: half a hop's jitter in each direction. */
 const EVICTION_MARGIN_MS = 20;
 
 /**
--- a/packages/decisions/src/roles/DemandTracker.ts
+++ b/packages/decisions/src/roles/DemandTracker.ts
@@ -7,7 +7,7 @@
 /** Source name of this host's own totals. */
 const OWN_SOURCE = '';
 
-/** Source name of the totals that a relay adds up over the hosts it hears. */
+/** Source name of the totals that a relay adds up over the hosts in its digest. */
 const RELAYED_SOURCE = '*';
 
 /** Weight of the newest request in the moving mean of allowed waits; about the last twenty count. */
@@ -21,7 +21,7 @@
 
   private readonly onTimeMs = new Map<ModelId, Millis>();
 
-  /** Sources heard before; a pool that such a source reports for the first time starts at zero. */
+  /** Sources that have reported before; a pool that one of them reports for the first time starts at zero. */
   private readonly knownSources = new Set<string>();
 
   private currentRelay = '';
@@ -37,7 +37,7 @@
     this.own.set(model, total);
     this.historyOf(model).receive(OWN_SOURCE, OWN_SOURCE, total, now);
     const onTimeMs = item.onTimeMs ?? item.maxWaitMs;
-    // A request that is late on arrival doesn't tell how long others may wait.
+    // A request that is late on arrival doesn't show how long others may wait.
     if (onTimeMs <= 0) return;
     const mean = this.onTimeMs.get(model) ?? onTimeMs;
     this.onTimeMs.set(model, mean + (onTimeMs - mean) * ON_TIME_WEIGHT);
@@ -66,11 +66,11 @@
   }
 
   /**
-   * Applies the cumulative demand of all peers that a relay hears.
+   * Applies the cumulative demand of all peers in the digest of a relay.
    *
    * @param relay - Name and incarnation of the relay.
-   * @param totals - Demand since the relay first heard of each peer. Another relay counts from a
-   *   different time, so its first totals can't be compared with the last of the previous relay.
+   * @param totals - Demand since the relay received the first hint of each peer. Another relay counts
+   *   from a different time, so its first totals can't be compared with the last of the previous relay.
    * @param now - Present time.
    */
   receiveRelayed(
--- a/packages/decisions/src/roles/RoleRebalancer.ts
+++ b/packages/decisions/src/roles/RoleRebalancer.ts
@@ -10,7 +10,7 @@
   /** Its role; its target role while it is changing. */
   readonly role: EngineRole;
   readonly isChanging: boolean;
-  /** Whether its last use failed; a failing engine is not moved, as it may not accept the order. */
+  /** Whether the last attempt on it failed; it then keeps its role, as it may not accept the order. */
   readonly isFailing: boolean;
   /** Present load, comparable between engines of the same role. */
   readonly load: number;
@@ -28,7 +28,7 @@
   readonly requests: number;
 }
 
-/** Reason why no engine is moved. */
+/** Reason why no engine changes its role. */
 export type StayReason =
   'little_demand' | 'engines_changed' | 'moving' | 'balanced' | 'not_lasting' | 'no_engine';
 
@@ -57,7 +57,7 @@
 /** Minimum length of the recorded demand for a forecast. */
 const MIN_DEMAND_MS: Millis = 2_000;
 
-/** Minimum reduction of late requests, as a share of all requests, for which engines are moved. */
+/** Minimum reduction of late requests, as a share of all requests, for which engines change their role. */
 const MIN_GAIN = 0.04;
 
 /**
@@ -66,12 +66,12 @@
  */
 const MIN_RELATIVE_GAIN = 0.2;
 
-/** Time for which the same change must be favoured; a clump of requests is over by then. */
+/** Time for which the same change must be favoured; a short burst is over by then. */
 const CONFIRMATION_MS: Millis = 800;
 
 /**
- * Time without moves after an engine joined or left. Most crashed engines are back within seconds,
- * sooner than another engine could replace them.
+ * Time without role changes after an engine joined or left. Most crashed engines are back within
+ * seconds, sooner than another engine could replace them.
  */
 const SETTLE_MS: Millis = 6_000;
 
@@ -81,16 +81,16 @@
 /** Period in which the gain of a change must outweigh the loss while engines change their role. */
 const PAYBACK_MS: Millis = 30_000;
 
-/** Maximum share of a role's engines that are moved at once. */
-const MAX_MOVED_SHARE = 0.25;
+/** Maximum share of a role's engines that change their role at once. */
+const MAX_CHANGED_SHARE = 0.25;
 
 /**
- * Decides when to move engines between the prefill and the decode role.
+ * Decides when engines change between the prefill and the decode role.
  *
  * Needed when the split of the engines doesn't match the demand: decode memory is full and requests
  * are late while prefill engines idle, or the reverse when prompts grow. The forecast replays recent
  * demand, also at higher levels and with lost engines. Decisions must not follow each burst, since a
- * move takes an engine out of service for seconds; must leave each role at least one engine; and
+ * role change takes an engine out of service for seconds; must leave each role at least one engine; and
  * must not rely on too little recorded demand.
  */
 export class RoleRebalancer {
@@ -103,11 +103,11 @@
   private membershipChangedAt: Millis = -Infinity;
 
   /**
-   * Decides which engines to move now.
+   * Decides which engines change their role now.
    *
    * @param view - Snapshot of the pool.
    * @param now - Present time.
-   * @returns The engines to move, or the reason why none is moved.
+   * @returns The engines and their new role, or the reason why none changes.
    */
   decide(view: RoleView, now: Millis): RoleDecision {
     this.trackMembership(view.engines, now);
@@ -120,10 +120,10 @@
     const forecast = makeForecast(view, requests);
     const change = forecast.target.prefillEngines - forecast.current.prefillEngines;
     if (change === 0 || !isWorthwhile(view, forecast)) return this.stay('balanced', forecast);
-    return this.moveIfConfirmed(view, forecast, now);
+    return this.changeIfConfirmed(view, forecast, now);
   }
 
-  private moveIfConfirmed(view: RoleView, forecast: RoleForecast, now: Millis): RoleDecision {
+  private changeIfConfirmed(view: RoleView, forecast: RoleForecast, now: Millis): RoleDecision {
     const { current, target } = forecast;
     const role = target.prefillEngines > current.prefillEngines ? 'prefill' : 'decode';
     if (this.targetRole !== role) {
@@ -192,16 +192,21 @@
   return gain * PAYBACK_MS > loss * outageMs;
 }
 
-/** Selects engines to move from the zones with most engines of their role, least loaded first. */
+/** Selects engines for a new role from the zones with most engines of the other, least loaded first. */
 function selectEngines(
   engines: readonly EngineRoleState[],
   role: EngineRole,
   count: number,
 ): readonly UpstreamId[] {
-  const donors = engines.filter((engine) => engine.role !== role);
-  const inZone = (zone: ZoneId): number => donors.filter((engine) => engine.zone === zone).length;
-  const limit = Math.min(count, donors.length - 1, Math.ceil(donors.length * MAX_MOVED_SHARE));
-  return donors
+  const candidates = engines.filter((engine) => engine.role !== role);
+  const inZone = (zone: ZoneId): number =>
+    candidates.filter((engine) => engine.zone === zone).length;
+  const limit = Math.min(
+    count,
+    candidates.length - 1,
+    Math.ceil(candidates.length * MAX_CHANGED_SHARE),
+  );
+  return candidates
     .filter((engine) => !engine.isFailing)
     .sort((a, b) => inZone(b.zone) - inZone(a.zone) || a.load - b.load)
     .slice(0, Math.max(0, limit))
--- a/packages/decisions/src/service/concurrencyShare.ts
+++ b/packages/decisions/src/service/concurrencyShare.ts
@@ -4,9 +4,9 @@
   readonly concurrency: number;
   /** Calls of this host that are in flight or queued. */
   readonly ownCalls: number;
-  /** Calls of the other hosts that are not silent. */
+  /** Calls of the other hosts that have not timed out. */
   readonly peerCalls: number;
-  /** Number of silent hosts: those without a recent gossip message. */
+  /** Number of hosts that have timed out: those without a recent gossip message. */
   readonly silentHosts: number;
   /** Number of all hosts. */
   readonly hosts: number;
@@ -17,8 +17,8 @@
  *
  * If callers use only a few hosts, equal shares would make these refuse calls while the shares of the
  * others stay unused. So each host gets capacity for its own calls and an equal share of what is left;
- * if there is too little, capacity is divided in proportion to the hosts' calls. A silent host may be
- * using its equal share, which is kept for it.
+ * if there is too little, capacity is divided in proportion to the hosts' calls. A host that has
+ * timed out may be using its equal share, which is kept for it.
  *
  * @param view - The capacity and the calls of the hosts.
  * @returns Most calls in flight, not rounded.
