--- a/packages/router/src/coordination/DeploymentFeed.ts
+++ b/packages/router/src/coordination/DeploymentFeed.ts
@@ -89,10 +89,10 @@
   /** @param options - The store, the format of its objects and the callbacks. */
   constructor(options: DeploymentFeedOptions) {
     this.options = options;
-    this.configs = this.follow(options.format.configKind, (round) => this.applyConfig(round));
-    this.servers = this.follow(options.format.serverKind, (round) => this.applyServers(round));
+    this.configs = this.follow(options.format.configKind, (copy) => this.applyConfig(copy));
+    this.servers = this.follow(options.format.serverKind, (copy) => this.applyServers(copy));
     this.drainEntries = options.drainsZones
-      ? this.follow(options.format.drainedZoneKind, (round) => this.applyDrainedZones(round))
+      ? this.follow(options.format.drainedZoneKind, (copy) => this.applyDrainedZones(copy))
       : undefined;
   }
 
@@ -177,7 +177,7 @@
     };
   }
 
-  private follow(kind: string, onSync: (round: KindCopy) => void): KindFollower {
+  private follow(kind: string, onSync: (copy: KindCopy) => void): KindFollower {
     const { store, clock, random } = this.options;
     return new KindFollower({
       store,
@@ -192,7 +192,7 @@
     });
   }
 
-  /** Applies a configuration newer than the one in force; an older one is a late answer. */
+  /** Applies a configuration newer than the one in force; an older one comes from a delayed response. */
   private applyConfig({ objects }: KindCopy): void {
     const { format } = this.options;
     this.notifyNewVersions();
@@ -225,8 +225,8 @@
     this.roster.update(listed, outageMs, clock.now());
     this.hasServers = true;
     this.compose();
-    const change = this.roster.getGraceEnd(clock.now());
-    if (change !== undefined) clock.after(change - clock.now(), () => this.compose());
+    const graceEnd = this.roster.getGraceEnd(clock.now());
+    if (graceEnd !== undefined) clock.after(graceEnd - clock.now(), () => this.compose());
   }
 
   /** Applies the store's full list: a zone without an entry is no longer drained. */
@@ -240,7 +240,7 @@
     this.options.slowStart.recordStart(server.id, server.startingMs, this.options.clock.now());
   }
 
-  /** Starts the slow start: servers of a drained zone may have restarted, and their entries lag behind. */
+  /** Starts the slow start of servers in restored zones: they may have restarted, and their entries lag. */
   private recordRestored(zones: readonly ZoneId[]): void {
     const now = this.options.clock.now();
     this.roster
--- a/packages/router/src/coordination/GossipRateGate.ts
+++ b/packages/router/src/coordination/GossipRateGate.ts
@@ -26,7 +26,7 @@
 
   private readonly rates: DistributedRateLimiter;
 
-  /** Rates logged last; teams are also set again with each change of the servers. */
+  /** Rates logged last. Each change of the servers sets all teams again; unchanged rates are not logged. */
   private logged: ReadonlyMap<TeamId, TeamRate> = new Map();
 
   /**
--- a/packages/router/src/coordination/GroupCoordination.ts
+++ b/packages/router/src/coordination/GroupCoordination.ts
@@ -60,7 +60,7 @@
 
   readonly crashGuard: CrashGuard;
 
-  /** Without limits: this configuration has no slow start settings. */
+  /** Without bounds: the configuration of a group has no slow-start settings. */
   readonly slowStart = new SlowStart();
 
   readonly claims: IdempotencyClaims;
@@ -119,7 +119,7 @@
       store: new BudgetedStore(store, budget, 'claims'),
       clock,
       random,
-      holderState: (host, start) => this.holderState(host, start),
+      holderState: (host, holderIncarnation) => this.holderState(host, holderIncarnation),
     });
     this.claimSweeper = new ClaimSweeper({
       store: new BudgetedStore(store, budget, 'status'),
@@ -263,7 +263,7 @@
     await this.options.store.register({ id: host, ...rest, state });
   }
 
-  /** A member of the epoch may still be running its call; a start that is no member never will. */
+  /** A member of the epoch may still run its call; an incarnation that is not a member never will. */
   private holderState(host: HostId, incarnation: Incarnation): 'live' | 'gone' | 'unknown' {
     const view = this.runner.view();
     if (view.epoch === 0) return 'unknown';
--- a/packages/router/src/coordination/HintReceiver.ts
+++ b/packages/router/src/coordination/HintReceiver.ts
@@ -63,7 +63,7 @@
 }
 
 function loadsOf(engines: readonly EngineHint[]): ReadonlyMap<string, InFlightLoad> {
-  return new Map(engines.map(({ engine, ...use }): [string, InFlightLoad] => [engine, use]));
+  return new Map(engines.map(({ engine, ...load }): [string, InFlightLoad] => [engine, load]));
 }
 
 function waitingOf(demand: readonly DemandHint[]): ReadonlyMap<ModelId, number> {
--- a/packages/router/src/coordination/HostRoster.ts
+++ b/packages/router/src/coordination/HostRoster.ts
@@ -15,7 +15,7 @@
 
 const MIN_RECORD_TTL_MS: Millis = 21_000;
 
-/** Longest time in milliseconds that counts between two reads; the rest was an outage of the store. */
+/** Most that a record ages between two reads, in milliseconds; a longer gap was an outage of the store. */
 const MAX_READ_INTERVAL_MS: Millis = 5_000;
 
 /**
@@ -26,7 +26,7 @@
 
 /** Addresses that a host sends its hints to in a large fleet. */
 export interface HintAddresses {
-  /** Hosts asked for digests: the relay of the zone, since cross-zone traffic costs more, and a silent host. */
+  /** Hosts asked for digests: the zone's relay, as cross-zone traffic costs more, and one without a hint. */
   readonly digestSources: readonly string[];
   /** Hosts that get hints but are not asked for digests. */
   readonly hintOnly: readonly string[];
@@ -70,7 +70,7 @@
 /**
  * Membership of the fleet, from the records in the store and the hints of the hosts.
  *
- * The records tell which hosts share the rates, and change slowly; hints tell within a second which
+ * The records list the hosts that share the rates, and change slowly; hints show within a second which
  * hosts can take callers. A record ages only while the store answers, so that an outage of the store
  * makes no host look dead.
  */
@@ -95,7 +95,7 @@
 
   private readonly hints = new Map<HostId, ReceivedHint>();
 
-  /** Expiry of signs of life other than hints. */
+  /** Time until which each host counts as alive by a message other than a hint. */
   private readonly aliveUntil = new Map<HostId, Millis>();
 
   private digest: ReceivedDigest | undefined;
@@ -154,7 +154,7 @@
       silent: new Set(silent),
       leaving: new Set(leaving),
       serving: new Set(serving),
-      expiresAt: now + this.silenceTimeoutMs(),
+      expiresAt: now + this.peerTimeoutMs(),
     };
   }
 
@@ -192,9 +192,9 @@
     return this.records.get(host)?.record.peerAddress;
   }
 
-  /** Records a sign of life of a host other than a hint. */
+  /** Records that a message other than a hint arrived from a host. */
   recordSignOfLife(host: HostId, now: Millis): void {
-    this.aliveUntil.set(host, now + this.silenceTimeoutMs());
+    this.aliveUntil.set(host, now + this.peerTimeoutMs());
   }
 
   /** Tells whether this host has an unexpired digest of a relay. */
@@ -226,19 +226,20 @@
   }
 
   /**
-   * Gets where this host sends its hints in a large fleet: to the relays, and to one silent host,
-   * another one at each call and the strongest first. Without it, the sides of a partition would keep
-   * to relays of their own and never rejoin; it also finds a live relay after all known ones have failed.
+   * Gets where this host sends its hints in a large fleet: to the relays, and to one host without a
+   * recent hint, another one at each call and the strongest first. Without the latter, the sides of a
+   * partition would keep to relays of their own and never rejoin; it also finds a live relay after all
+   * known ones have failed.
    */
   getHintAddresses(now: Millis): HintAddresses {
     const relays = this.getRelays(now).filter((record) => record.host !== this.self);
     const home = this.chooseHomeRelay(this.getRelays(now));
     const relaying = new Set(relays.map((record) => record.host));
-    const silentHosts = this.ranked.filter(
+    const timedOut = this.ranked.filter(
       ({ host }) => host !== this.self && !relaying.has(host) && !this.isAlive(host, now),
     );
-    this.probedIndex = silentHosts.length === 0 ? 0 : (this.probedIndex + 1) % silentHosts.length;
-    const next = silentHosts[this.probedIndex];
+    this.probedIndex = timedOut.length === 0 ? 0 : (this.probedIndex + 1) % timedOut.length;
+    const next = timedOut[this.probedIndex];
     const others = relays.filter((relay) => relay !== home);
     const asked = [home, next].filter((record) => record !== undefined);
     return { digestSources: asked.map(addressOf), hintOnly: others.map(addressOf) };
@@ -271,7 +272,7 @@
   /**
    * Gets the hosts that callers may use: those known to be alive.
    *
-   * A host without a live peer can't tell which hosts are alive, since it may be partitioned itself; it
+   * A host without a live peer can't know which hosts are alive, since it may be partitioned itself; it
    * returns all. Callers skip addresses that fail.
    *
    * @param now - Current time.
@@ -336,7 +337,7 @@
     return hint === undefined || hint.expiresAt < now ? undefined : hint;
   }
 
-  private silenceTimeoutMs(): Millis {
+  private peerTimeoutMs(): Millis {
     return Math.max(MIN_HINT_TTL_MS, gossipTimings(this.countHosts()).silentMs);
   }
 }
--- a/packages/router/src/coordination/OutageRateGate.ts
+++ b/packages/router/src/coordination/OutageRateGate.ts
@@ -19,11 +19,11 @@
 }
 
 /**
- * Charges exact shares, and falls back to an equal share of a team's rate without a coordinator.
+ * Charges exact shares, and falls back to an equal share of the rate of a team without a coordinator.
  *
- * When a host dies during an outage of the store, the grants of the teams that it coordinated expire and
+ * When a host crashes during an outage of the store, the grants of the teams that it coordinated expire and
  * no new epoch can name another coordinator; callers within their rate would be refused until the store
- * returns. No host then has a grant of these teams, so one equal share for each member, the dead one
+ * returns. No host then has a grant of these teams, so one equal share for each member, the crashed one
  * included, stays within the rate. A host without a confirming majority uses no equal share, since the
  * group may have continued without it.
  */
--- a/packages/router/src/coordination/PeerGossip.ts
+++ b/packages/router/src/coordination/PeerGossip.ts
@@ -13,7 +13,7 @@
 /** Digest intervals without a digest after which the relay has timed out. */
 const RELAY_TIMEOUT_INTERVALS = 3;
 
-/** Factor by which another relay must receive hints of more hosts to be followed instead. */
+/** A host switches to a relay that receives the hints of more hosts than the present one by this factor. */
 const RELAY_SWITCH_FACTOR = 1.1;
 
 /**
@@ -156,7 +156,7 @@
     this.receiveDigest(this.buildDigest(self, sums, silent));
   }
 
-  /** Tells whether a digest is due; one due within half an interval is sent now, not a round late. */
+  /** Tells whether a digest is due; one due within half an interval is sent now: the next round is late. */
   private isDue({ host, digests }: Pick<HostHint, 'host' | 'digests'>, now: Millis): boolean {
     const { digestMs, standbyDigestMs } = this.timings();
     const sinceMs = now - (this.digestSentAt.get(host) ?? -Infinity);
@@ -207,13 +207,13 @@
     this.options.onDigest(digest);
   }
 
-  /** Follows one relay at a time: the sums of two relays can't be added or compared. */
+  /** Accepts the digests of one relay at a time: the sums of two relays can't be added or compared. */
   private acceptsDigest(digest: HostDigest): boolean {
     const { relay } = this;
     const { roster, clock } = this.options;
     if (this.isStale(digest)) return false;
     if (relay === undefined || relay.host === digest.host || this.isRelayTimedOut()) return true;
-    // The home relay goes on sending; digests from other relays end once they are no longer asked.
+    // The home relay goes on sending; other relays stop once this host no longer asks them for digests.
     const isHome = digest.host === roster.getHomeRelay(clock.now());
     const minHosts = isHome
       ? relay.hostCount / RELAY_SWITCH_FACTOR
@@ -229,7 +229,7 @@
     return this.relay === undefined || this.options.clock.now() - this.relay.receivedAt > timeoutMs;
   }
 
-  /** Tells whether this host takes callers, or has changed its state lately while standing by. */
+  /** Tells whether this host takes callers, or is on standby and has changed its state lately. */
   private isBusy(): boolean {
     return this.isServing() || this.options.clock.now() - this.changedAt < BUSY_HOLD_MS;
   }
--- a/packages/router/src/coordination/ServerRoster.ts
+++ b/packages/router/src/coordination/ServerRoster.ts
@@ -36,7 +36,7 @@
     const next = new Map(listed.map((server) => [server.id, server]));
     const isAfterOutage = outageMs >= MIN_OUTAGE_MS;
     if (isAfterOutage) this.graceUntil = now + OUTAGE_GRACE_MS;
-    // An entry that is gone after the first list since the outage was removed, it has not expired.
+    // An entry that disappears after the first list since the outage was removed on purpose: it is not kept.
     const kept = isAfterOutage ? new Map([...this.missing, ...this.servers]) : this.missing;
     const isInGrace = now < this.graceUntil;
     this.missing = isInGrace
--- a/packages/router/src/coordination/StoreCoordination.ts
+++ b/packages/router/src/coordination/StoreCoordination.ts
@@ -31,10 +31,10 @@
 import { createRoleControl } from './createRoleControl.ts';
 import type { HintContent } from './PeerGossip.ts';
 
-/** Upstreams that one request must crash to be blocked; fewer crashes can coincide by chance. */
+/** Number of upstreams that a request must crash before it is blocked; fewer may be coincidence. */
 const MIN_CRASHED_UPSTREAMS = 3;
 
-/** Milliseconds for which such a request is blocked; its caller retries it for some seconds. */
+/** Milliseconds for which such a request is blocked; callers retry for some seconds. */
 const CRASH_BLOCK_MS: Millis = 60_000;
 
 /** Options of a {@link StoreCoordination}. */
@@ -163,7 +163,7 @@
       clock,
       link: options.hints,
       roster: this.hosts,
-      hint: () => this.buildReport(),
+      hint: () => this.buildHint(),
       onHint: (hint) => hintReceiver.receive(hint),
       onDigest: (digest) => hintReceiver.receiveDigest(digest),
     });
@@ -205,7 +205,7 @@
     this.listeners.clear();
   }
 
-  /** Rejects all requests, since hosts that share a store send each other none. */
+  /** Rejects all requests: hosts that coordinate through the store send each other only gossip. */
   async handlePeerRequest(): Promise<PeerResponse> {
     return { type: 'not_steward', epoch: 0 };
   }
@@ -285,10 +285,10 @@
     return hasDigest ? this.timings().pollMs : MIN_POLL_INTERVAL_MS;
   }
 
-  private buildReport(): HintContent {
+  private buildHint(): HintContent {
     return {
       leaving: this.leaving,
-      engines: [...this.knowledge.inFlight.getOwn()].map(([engine, use]) => ({ engine, ...use })),
+      engines: [...this.knowledge.inFlight.getOwn()].map(([engine, load]) => ({ engine, ...load })),
       charged: this.rates.getChargedTotals(),
       demand: this.knowledge.demand
         .getOwnTotals()
@@ -318,11 +318,11 @@
  */
 export function storeCoordination(
   options: StoreCoordinationOptions,
-  onCreated: (agreement: StoreCoordination) => void,
+  onCreated: (coordination: StoreCoordination) => void,
 ): CoordinationFactory {
   return (context) => {
-    const agreement = new StoreCoordination(options, context);
-    onCreated(agreement);
-    return agreement;
+    const coordination = new StoreCoordination(options, context);
+    onCreated(coordination);
+    return coordination;
   };
 }
