--- a/packages/decisions/src/local/InFlightTracker.ts
+++ b/packages/decisions/src/local/InFlightTracker.ts
@@ -104,7 +104,7 @@
   }
 
   private freshReports(now: Millis): readonly PeerReport[] {
-    const ttlMs = Math.max(MIN_REPORT_TTL_MS, gossipTimings(this.getHostCount()).silentMs);
+    const ttlMs = Math.max(MIN_REPORT_TTL_MS, gossipTimings(this.getHostCount()).gossipTimeoutMs);
     return [...this.reports.values()].filter((report) => now - report.at <= ttlMs);
   }
 }
--- a/packages/decisions/src/local/gossipTimings.ts
+++ b/packages/decisions/src/local/gossipTimings.ts
@@ -16,7 +16,7 @@
   /** Milliseconds between two digests of a relay for a standby host. */
   readonly standbyDigestMs: Millis;
   /** Milliseconds without a gossip message or digest after which the last one is discarded. */
-  readonly silentMs: Millis;
+  readonly gossipTimeoutMs: Millis;
   /** Milliseconds between two writes of the record of a host in the store. */
   readonly recordMs: Millis;
   /** Milliseconds between two reads of all records, which may be slightly stale. */
@@ -105,10 +105,10 @@
     MAX_RECORD_READ_MS,
   );
   const pollMs = clamp(MIN_POLL_MS, intervalMs(hosts, POLLS_PER_SECOND), MAX_POLL_MS);
-  const silentMs = gossipTtlMs(isRelayed ? Math.max(periodMs, standbyDigestMs) : periodMs);
+  const gossipTimeoutMs = gossipTtlMs(isRelayed ? Math.max(periodMs, standbyDigestMs) : periodMs);
   return {
     ...{ isRelayed, periodMs, standbyPeriodMs, gapMs, digestMs, standbyDigestMs },
-    ...{ silentMs, recordMs, recordReadMs, pollMs },
+    ...{ gossipTimeoutMs, recordMs, recordReadMs, pollMs },
   };
 }
 
--- a/packages/decisions/src/rates/DistributedRateLimiter.ts
+++ b/packages/decisions/src/rates/DistributedRateLimiter.ts
@@ -91,7 +91,7 @@
   }
 
   /** Sets the other hosts that share the rates. */
-  setSharers(hosts: readonly HostId[], now: Millis): void {
+  setPeerHosts(hosts: readonly HostId[], now: Millis): void {
     this.advance(now);
     this.peerHosts = hosts;
     const digestGroup = this.peers.get(DIGEST_GROUP);
@@ -100,7 +100,7 @@
   }
 
   /** Applies a relay's digest of all peers' charges; it replaces the peers' own reports. */
-  receiveDigest({ relay, incarnation, heard, totals }: RelayDigest, now: Millis): void {
+  receiveDigest({ relay, incarnation, peerCount, totals }: RelayDigest, now: Millis): void {
     this.advance(now);
     const known = this.peers.get(DIGEST_GROUP);
     const source = `${relay} ${incarnation}`;
@@ -108,12 +108,12 @@
     // Another relay's totals count from a different time, so the difference has no meaning.
     const isContinuous = previous?.incarnation === source;
     if (previous !== undefined && isContinuous) this.reconcile(previous, totals);
-    const previousRates = previous?.chargeRates ?? this.equalShares(heard);
+    const previousRates = previous?.chargeRates ?? this.equalShares(peerCount);
     const chargeRates =
       previous !== undefined && isContinuous
         ? this.measureRates(previous, totals, now)
         : previousRates;
-    const hostCount = Math.min(heard, this.peerHosts.length);
+    const hostCount = Math.min(peerCount, this.peerHosts.length);
     const assumed = new Map<TeamId, Tokens>();
     this.trackGroups({
       hostCount,
@@ -322,8 +322,8 @@
 
   /** Tells whether a peer has timed out; the timeout allows for two lost gossip messages. */
   private isTimedOut({ receivedAt }: PeerCharges, now: Millis): boolean {
-    const { silentMs } = gossipTimings(this.hostCount());
-    return receivedAt === undefined || now - receivedAt > silentMs;
+    const { gossipTimeoutMs } = gossipTimings(this.hostCount());
+    return receivedAt === undefined || now - receivedAt > gossipTimeoutMs;
   }
 
   private hostCount(): number {
--- a/packages/decisions/src/rates/peerCharges.ts
+++ b/packages/decisions/src/rates/peerCharges.ts
@@ -6,7 +6,7 @@
   readonly relay: HostId;
   readonly incarnation: Incarnation;
   /** Number of peers whose charges are in the totals. */
-  readonly heard: number;
+  readonly peerCount: number;
   /** Tokens by team that these peers have charged since the relay received the first hint of each. */
   readonly totals: ReadonlyMap<TeamId, Tokens>;
 }
--- a/packages/decisions/tests/rates/DistributedRateLimiter.test.ts
+++ b/packages/decisions/tests/rates/DistributedRateLimiter.test.ts
@@ -24,7 +24,7 @@
   const names = Array.from({ length: options.hosts }, (_, i) => `h${i}`);
   const rates = names.map(() => new DistributedRateLimiter(TOLERANCE));
   rates.forEach((one, i) => {
-    one.setSharers(
+    one.setPeerHosts(
       names.filter((_, j) => j !== i),
       0,
     );
@@ -117,7 +117,7 @@
 test('a team within five sixths of its rate is served in full if one host of six has failed', () => {
   const hosts = Array.from({ length: 6 }, (_, i) => `h${i}`);
   const rates = new DistributedRateLimiter(TOLERANCE);
-  rates.setSharers(hosts.slice(1), 0);
+  rates.setPeerHosts(hosts.slice(1), 0);
   rates.reconfigure(new Map([[TEAM, RATE]]), 0);
   let refused = 0;
   Array.from({ length: 2_000 }, (_, step) => step * STEP_MS).forEach((now) => {
@@ -131,7 +131,7 @@
 // use the same tokens twice.
 test('the restart of a peer refunds nothing', () => {
   const rates = new DistributedRateLimiter(TOLERANCE);
-  rates.setSharers(['p'], 0);
+  rates.setPeerHosts(['p'], 0);
   rates.reconfigure(new Map([[TEAM, RATE]]), 0);
   rates.receive('p', 'first', new Map([[TEAM, 5_000]]), 0);
   rates.receive('p', 'first', new Map([[TEAM, 9_000]]), 100);
--- a/packages/router/src/coordination/GossipRateGate.ts
+++ b/packages/router/src/coordination/GossipRateGate.ts
@@ -49,7 +49,7 @@
 
   /** Applies a changed set of peers. */
   setPeers(hosts: readonly HostId[]): void {
-    this.rates.setSharers(hosts, this.clock.now());
+    this.rates.setPeerHosts(hosts, this.clock.now());
   }
 
   /** Receives the charges of a peer. */
@@ -59,7 +59,7 @@
 
   /** Receives the charges of all peers together from a relay. */
   receiveDigest({ host, incarnation, hostCount, charged }: HostDigest): void {
-    const digest = { relay: host, incarnation, heard: hostCount, totals: new Map(charged) };
+    const digest = { relay: host, incarnation, peerCount: hostCount, totals: new Map(charged) };
     this.rates.receiveDigest(digest, this.clock.now());
   }
 
--- a/packages/router/src/coordination/HostCoordination.ts
+++ b/packages/router/src/coordination/HostCoordination.ts
@@ -89,7 +89,7 @@
   readonly random: RandomSource;
   readonly directory: UpstreamDirectory;
   /** Shares of the concurrency of plain services, by the calls of all hosts. */
-  readonly calls: ConcurrencyShares;
+  readonly concurrencyShares: ConcurrencyShares;
 }
 
 /** Creates the {@link HostCoordination} of a host. */
--- a/packages/router/src/coordination/HostRoster.ts
+++ b/packages/router/src/coordination/HostRoster.ts
@@ -338,7 +338,7 @@
   }
 
   private peerTimeoutMs(): Millis {
-    return Math.max(MIN_HINT_TTL_MS, gossipTimings(this.countHosts()).silentMs);
+    return Math.max(MIN_HINT_TTL_MS, gossipTimings(this.countHosts()).gossipTimeoutMs);
   }
 }
 
--- a/packages/router/src/coordination/OutageRateGate.ts
+++ b/packages/router/src/coordination/OutageRateGate.ts
@@ -80,7 +80,7 @@
     const peerKey = peers.join();
     if (peerKey === this.peerKey) return;
     this.peerKey = peerKey;
-    this.fallback.setSharers(peers, this.now());
+    this.fallback.setPeerHosts(peers, this.now());
   }
 
   private now(): number {
--- a/packages/router/src/coordination/StoreCoordination.ts
+++ b/packages/router/src/coordination/StoreCoordination.ts
@@ -155,7 +155,7 @@
     const { config, hosts, rates, knowledge } = this;
     const hintReceiver = new HintReceiver({
       ...{ clock, hosts, rates, config, knowledge },
-      ...{ probes: this.placer.probes, calls: context.calls },
+      ...{ probes: this.placer.probes, calls: context.concurrencyShares },
     });
     this.gossip = new PeerGossip({
       self: identity.host,
@@ -295,7 +295,7 @@
         .map((one) => ({ ...one, onTimeWaiting: this.placer.countOnTime(one.model) })),
       moves: this.knowledge.roleChanges.getOwnChanges(this.clock.now()),
       down: this.placer.probes.getDownEngines(),
-      calls: [...this.context.calls.countLocal()],
+      calls: [...this.context.concurrencyShares.countLocal()],
       versions: this.config.getVersions(),
       drained: this.config.drains.get(),
     };
--- a/packages/router/src/host/Host.ts
+++ b/packages/router/src/host/Host.ts
@@ -51,8 +51,8 @@
     coordination.config.onChange((config) => this.applyConfig(config));
     coordination.group.onChange(() => this.applyGroupChange());
     coordination.start(signal);
-    void this.components.keeper.run(signal);
-    void this.components.watch.run(signal);
+    void this.components.renewer.run(signal);
+    void this.components.observer.run(signal);
     this.enterState('serving');
   }
 
@@ -145,7 +145,7 @@
       state: this.state,
       config: this.components.coordination.config.state(),
       inFlight: this.components.inFlight.size(),
-      reservations: this.components.keeper.size(),
+      reservations: this.components.renewer.size(),
       ...this.components.coordination.dump(),
       crashes: this.components.coordination.crashGuard.dump(),
       serviceQueues: this.components.serviceQueues.dump(),
--- a/packages/router/src/host/assembleHost.ts
+++ b/packages/router/src/host/assembleHost.ts
@@ -27,8 +27,8 @@
   readonly coordination: HostCoordination;
   readonly keys: KeyRing;
   readonly directory: UpstreamDirectory;
-  readonly keeper: ReservationRenewer;
-  readonly watch: EngineObserver;
+  readonly renewer: ReservationRenewer;
+  readonly observer: EngineObserver;
   readonly serviceQueues: ServiceQueues;
   readonly inFlight: InFlightRequests;
   readonly backend: CallerBackend;
@@ -45,30 +45,37 @@
 export function assembleHost(options: HostOptions, admission: HostAdmission): HostComponents {
   const { clock, random, identity, incarnation, metrics } = options;
   const directory = new UpstreamDirectory(options.engines, options.servers);
-  const calls = new ConcurrencyShares();
+  const concurrencyShares = new ConcurrencyShares();
   const coordination = options.coordination({
     clock,
     random,
     identity,
     incarnation,
     directory,
-    calls,
+    concurrencyShares,
   });
   const { config, group, rates, retryGate, crashGuard, claims, placer, slowStart } = coordination;
   const keys = new KeyRing();
   const authenticator = new Authenticator(config, keys);
-  const keeper = new ReservationRenewer(clock, placer);
-  const watch = new EngineObserver(clock, placer);
+  const renewer = new ReservationRenewer(clock, placer);
+  const observer = new EngineObserver(clock, placer);
   const hostCount = (): number => group.members().length;
-  const serviceQueues = new ServiceQueues(clock, random, directory, hostCount, calls, slowStart);
+  const serviceQueues = new ServiceQueues(
+    clock,
+    random,
+    directory,
+    hostCount,
+    concurrencyShares,
+    slowStart,
+  );
   const inFlight = new InFlightRequests();
   const completions = new CompletionHandler({
     self: identity.host,
     clock,
     directory,
     placements: placer,
-    keeper,
-    watch,
+    renewer,
+    observer,
     metrics,
     rates,
     retryGate,
@@ -92,8 +99,8 @@
     coordination,
     keys,
     directory,
-    keeper,
-    watch,
+    renewer,
+    observer,
     serviceQueues,
     inFlight,
     backend: new HostBackend({ ...commonOptions, ...handlers, ...admission, group, incarnation }),
--- a/packages/router/src/placing/CoordinatorRegistry.ts
+++ b/packages/router/src/placing/CoordinatorRegistry.ts
@@ -85,7 +85,7 @@
     [...this.coordinators].forEach(([model, coordinator]) => {
       const pool = this.options.directory.getPool(model);
       if (pool !== undefined && this.mayCoordinate(model)) {
-        coordinator.reshape(pool);
+        coordinator.reconfigure(pool);
         return;
       }
       coordinator.stop();
--- a/packages/router/src/placing/PoolCoordinator.ts
+++ b/packages/router/src/placing/PoolCoordinator.ts
@@ -163,7 +163,7 @@
   }
 
   /** Applies a changed pool configuration. */
-  reshape(pool: PoolConfig): void {
+  reconfigure(pool: PoolConfig): void {
     if (pool === this.pool) return;
     const known = new Set(this.pool.engines.map((engine) => engine.id));
     this.pool = pool;
--- a/packages/router/src/serving/CompletionAttempt.ts
+++ b/packages/router/src/serving/CompletionAttempt.ts
@@ -140,7 +140,7 @@
   private async prefill(
     engine: ModelEngine,
   ): Promise<{ readonly type: 'ran'; readonly result: PrefillResult } | FailedAttempt> {
-    const { clock, metrics, placements, watch } = this.deps;
+    const { clock, metrics, placements, observer } = this.deps;
     const { placement, pool } = this.plan;
     const startedAt = clock.now();
     metrics.count('attempt.dispatched');
@@ -162,7 +162,7 @@
     metrics.count('prefill.tokens', {}, result.value.promptTokens);
     const id = this.plan.identity.request;
     log('prefilled', { id, engine: engine.id, tookMs: Math.round(tookMs) });
-    watch.record(pool.model, {
+    observer.record(pool.model, {
       type: 'prefill_done',
       engine: engine.id,
       tokens: result.value.promptTokens,
@@ -259,7 +259,7 @@
   private detectStall(engine: ModelEngine): StallDetector {
     return new StallDetector({
       clock: this.deps.clock,
-      silentMs: STALL_TIMEOUT_MS,
+      timeoutMs: STALL_TIMEOUT_MS,
       probe: async () => (await engine.load()).isOk(),
       onEngineGone: () => {
         this.isEngineGone = true;
@@ -284,7 +284,12 @@
     const now = this.deps.clock.now();
     if (lastAt !== undefined) {
       const { pool, placement } = this.plan;
-      this.deps.watch.recordTokenInterval(pool.model, engine, placement.reservation, now - lastAt);
+      this.deps.observer.recordTokenInterval(
+        pool.model,
+        engine,
+        placement.reservation,
+        now - lastAt,
+      );
       this.deps.metrics.timing('request.token_interval', now - lastAt);
     }
     return now;
@@ -293,7 +298,7 @@
   private registerReservation(prefillRunning: boolean): void {
     const { placement, identity, pool } = this.plan;
     if (this.isReservationLost) return;
-    this.deps.keeper.track({
+    this.deps.renewer.track({
       model: pool.model,
       onLost: () => {
         this.isReservationLost = true;
@@ -314,7 +319,7 @@
   private cleanUp(outcome: AttemptOutcome | undefined, callerGone: boolean): void {
     const { placement, pool } = this.plan;
     this.abort.abort();
-    this.deps.keeper.untrack(placement.reservation);
+    this.deps.renewer.untrack(placement.reservation);
     if (outcome?.type !== 'done') {
       const { prefill } = placement;
       if (prefill !== undefined) void this.engine(prefill)?.cancel(placement.reservation);
@@ -342,7 +347,7 @@
     const id = this.plan.identity.request;
     log('attempt_failed', { id, engine, stage, error: error.type, dispatched, message });
     if (error.type === 'unreachable') {
-      this.deps.watch.record(this.plan.pool.model, { type: 'failed', engine, reason: 'down' });
+      this.deps.observer.record(this.plan.pool.model, { type: 'failed', engine, reason: 'down' });
     }
     return { type: 'failed', engine, stage, error };
   }
--- a/packages/router/src/serving/StallDetector.ts
+++ b/packages/router/src/serving/StallDetector.ts
@@ -4,7 +4,7 @@
 export interface StallDetectorOptions {
   readonly clock: Clock;
   /** Milliseconds without an event after which the engine is probed. */
-  readonly silentMs: Millis;
+  readonly timeoutMs: Millis;
   /** Probes the engine; false where it does not answer, or another engine has taken over its address. */
   readonly probe: () => Promise<boolean>;
   /** Called once when a probe fails. */
@@ -33,10 +33,10 @@
 
   /** Restarts the timeout when an event arrives. */
   recordProgress(): void {
-    const { clock, silentMs } = this.options;
+    const { clock, timeoutMs } = this.options;
     this.cancelTimer();
     if (this.isClosed) return;
-    this.cancelTimer = clock.after(silentMs, () => {
+    this.cancelTimer = clock.after(timeoutMs, () => {
       void this.probe();
     });
   }
--- a/packages/router/src/serving/completionAttemptPlan.ts
+++ b/packages/router/src/serving/completionAttemptPlan.ts
@@ -12,8 +12,8 @@
   readonly clock: Clock;
   readonly directory: UpstreamDirectory;
   readonly placements: Placer;
-  readonly keeper: ReservationRenewer;
-  readonly watch: EngineObserver;
+  readonly renewer: ReservationRenewer;
+  readonly observer: EngineObserver;
   readonly metrics: Metrics;
 }
 
--- a/packages/router/tests/coordination/PeerGossip.test.ts
+++ b/packages/router/tests/coordination/PeerGossip.test.ts
@@ -70,7 +70,7 @@
   await withFleet(30, async (fleet) => {
     await fleet.clock.advance(3_000);
     fleet.hosts.slice(0, 3).forEach((host) => Object.assign(host, { isDown: true }));
-    await fleet.clock.advance(3 * gossipTimings(30).silentMs);
+    await fleet.clock.advance(3 * gossipTimings(30).gossipTimeoutMs);
     const live = fleet.hosts.slice(3);
     const expected = live.map((host) => host.name);
     live.forEach((host) => assert.deepEqual(namesOf(fleet, host), expected, host.name));
@@ -89,7 +89,7 @@
     await fleet.clock.advance(10_000);
     fleet.hosts.forEach((host) => assert.equal(namesOf(fleet, host).length, 15, host.name));
     Object.assign(fleet, { passes: () => true });
-    await fleet.clock.advance(4 * gossipTimings(30).silentMs);
+    await fleet.clock.advance(4 * gossipTimings(30).gossipTimeoutMs);
     fleet.hosts.forEach((host) => assert.equal(namesOf(fleet, host).length, 30, host.name));
   });
 });
--- a/packages/router/tests/support/GossipFleet.ts
+++ b/packages/router/tests/support/GossipFleet.ts
@@ -68,7 +68,7 @@
       const roster = new HostRoster(name, zoneOf(i));
       roster.update(records, 0);
       const rates = new DistributedRateLimiter(TOLERANCE);
-      rates.setSharers(roster.getPeers(), 0);
+      rates.setPeerHosts(roster.getPeers(), 0);
       const host: GossipHost = {
         ...{ name, roster, rates, inFlight: new InFlightTracker(), digests: [], load: new Map() },
         ...{
@@ -127,7 +127,7 @@
         const { hostCount, incarnation } = digest;
         const totals = new Map(digest.charged);
         host.rates.receiveDigest(
-          { relay: digest.host, incarnation, heard: hostCount, totals },
+          { relay: digest.host, incarnation, peerCount: hostCount, totals },
           clock.now(),
         );
         const loads = digest.engines.map(({ engine, ...use }): [string, InFlightLoad] => [
