--- a/packages/router/src/serving/CompletionAttempt.ts
+++ b/packages/router/src/serving/CompletionAttempt.ts
@@ -15,10 +15,7 @@
 
 const log = eventLog('attempt');
 
-/**
- * Milliseconds after a prefill within which another decode engine may fetch its KV cache. Engines keep it
- * for half a second, and the transfer must have started by then.
- */
+/** Milliseconds after a prefill for another decode engine to start fetching its KV cache, kept for 500 ms. */
 const KV_FAILOVER_WINDOW_MS: Millis = 350;
 
 /** Milliseconds without an event after which an engine is probed. */
@@ -28,10 +25,9 @@
 const CAPACITY_POLL_MS: Millis = 10;
 
 /**
- * One attempt at a completion on a pair of engines: prefill, transfer, decode.
- *
- * However it ends, the reservation is released and the engines are told to free the attempt's memory; a
- * caller that disconnected must not occupy engine memory.
+ * One attempt at a completion on a pair of engines: prefill, transfer, decode. However it ends, the
+ * reservation is released and the engines are told to free the attempt's memory; a caller that
+ * disconnected must not occupy engine memory.
  */
 export class CompletionAttempt {
   private readonly deps: AttemptDependencies;
@@ -60,8 +56,6 @@
   }
 
   /**
-   * Runs the attempt.
-   *
    * @param signal - Aborted when the caller disconnects or the host ends the request.
    * @returns The events of the answer; the generator's return value is the outcome.
    */
@@ -96,11 +90,10 @@
   }
 
   /**
-   * Decodes from the prompt's KV cache, on another decode engine where the first one rejects it.
-   *
-   * A decode engine that has just crashed, or has filled up since its last load report, rejects a prompt
-   * after its prefill; a second prefill would add to the load. Under overload the other engines are full
-   * too, and the prompt waits for capacity.
+   * Decodes from the prompt's KV cache, on another decode engine where the first one rejects it. A
+   * decode engine that has just crashed, or has filled up since its last load report, rejects a prompt after
+   * its prefill; a second prefill would add to the load. Under overload the other engines are full too,
+   * and the prompt waits for capacity.
    */
   private async *decodeWithFailover(
     first: ModelEngine,
